--- a/src/entry/model_dispatcher.ts
+++ b/src/entry/model_dispatcher.ts
@@ -108,7 +108,7 @@
     const done = (outcome: TryOutcome) =>
       serverPool.end(server.id, { outcome, nowMs: clock.monotonicMs() });
     const answer = await ask(modelCall(target, input));
-    entryMetrics.tries.inc({
+    entryMetrics.attempts.inc({
       outcome: answer.ok ? "answered" : answer.error.tag,
     });
     if (answer.ok) return ok({ target, answer: answer.value, done });
--- a/src/entry/service_dispatcher.ts
+++ b/src/entry/service_dispatcher.ts
@@ -127,7 +127,7 @@
     if (answer.ok) {
       serverPool.rest(server.id, { restMs: answer.value.restMs, nowMs });
     }
-    entryMetrics.tries.inc({
+    entryMetrics.attempts.inc({
       outcome: answer.ok ? "answered" : answer.error.tag,
     });
     return answer;
--- a/src/gateway/address_list.ts
+++ b/src/gateway/address_list.ts
@@ -1,4 +1,4 @@
-/** Which addresses callers are told to use. */
+/** Chooses the VM addresses that are returned to callers. */
 
 import type { DataCentreId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -8,28 +8,28 @@
 import type { Readiness } from "./readiness.ts";
 
 /**
- * How long callers keep the answer, in milliseconds. Where they ask often, each VM that has lost
- * power costs its neighbours' callers a wait again and again; a VM that stops serves on for
- * longer than this, and who comes later finds its port closed and tries another.
+ * How long callers cache the answer, in milliseconds. With frequent lookups, each VM that has lost
+ * power delays the callers of its neighbours repeatedly. A VM that shuts down keeps serving for
+ * longer than this; callers that come later find its port closed and try another VM.
  */
-const TTL_MS = 3_000;
-/** Addresses in one answer, at most. */
-const MOST_ADDRESSES = 64;
+const ANSWER_TTL_MS = 3_000;
+/** Maximum number of addresses in one answer. */
+const MAX_ADDRESSES = 64;
 /**
- * From this many VMs in a caller's own data centre, it is named those and few others. With
- * fewer, the loss of some at once would leave it with too few that answer.
+ * With at least this many VMs in the caller's data centre, the answer lists those and a few others.
+ * With fewer, losing several at the same time would leave the caller with too few that respond.
  */
-const ENOUGH_NEAR = 8;
+const MIN_LOCAL_VMS = 8;
 /**
- * Addresses of the caller's own data centre for each one elsewhere, which keeps a caller
- * served that has lost its data centre before its answer runs out. Callers draw one by
- * chance, and the bytes of those that draw one elsewhere cross between data centres.
+ * Addresses in the caller's data centre per remote address. The remote addresses keep a caller
+ * served if its data centre fails before the answer expires. Callers pick an address at random,
+ * and the traffic of those that pick a remote one crosses between data centres.
  */
-const NEAR_FOR_EACH_FAR = 8;
+const LOCAL_PER_REMOTE = 8;
 
-/** Near addresses, at most, so that the others fit beside them. */
-const MOST_NEAR = Math.floor(
-  MOST_ADDRESSES * NEAR_FOR_EACH_FAR / (NEAR_FOR_EACH_FAR + 1),
+/** Maximum number of local addresses that leaves room for the remote ones. */
+const MAX_LOCAL_ADDRESSES = Math.floor(
+  MAX_ADDRESSES * LOCAL_PER_REMOTE / (LOCAL_PER_REMOTE + 1),
 );
 
 interface Deps {
@@ -39,13 +39,13 @@
   readonly unitHash: UnitHash;
 }
 
-/** An answer to a caller who asks where to go. */
+/** Answer to an address lookup of a caller. */
 export interface AddressAnswer {
   readonly addresses: readonly string[];
   readonly ttlMs: number;
 }
 
-/** Names the VMs that are ready, as this one sees them. */
+/** Lists the VMs that are ready, as this VM sees them. */
 export class AddressList {
   readonly #deps: Deps;
 
@@ -53,36 +53,36 @@
     this.#deps = deps;
   }
 
-  /** Answers a caller in a data centre. */
+  /** Answers a caller in `dataCentre`; undefined if the caller did not specify one. */
   answer(dataCentre: string | undefined): AddressAnswer {
     const { vmSettings, memberTable, readiness } = this.#deps;
-    const ttlMs = Math.min(TTL_MS, vmSettings.bounds.maxAddressTtlMs);
+    const ttlMs = Math.min(ANSWER_TTL_MS, vmSettings.bounds.maxAddressTtlMs);
     const callable = memberTable.callable().filter((member) =>
       member.callers !== "" &&
       (member.id !== vmSettings.vm || readiness.isReady())
     );
-    // Suspects are left out, unless there are so many that this VM may be the one cut off.
-    const sound = callable.filter(({ state }) => state === "alive");
-    const members = 2 * sound.length > callable.length ? sound : callable;
-    const addresses = this.#nearFirst(members, dataCentre as DataCentreId)
-      .slice(0, MOST_ADDRESSES)
+    // Suspects are left out, unless half or more are suspect: this VM may be the one cut off.
+    const alive = callable.filter(({ state }) => state === "alive");
+    const members = 2 * alive.length > callable.length ? alive : callable;
+    const addresses = this.#localFirst(members, dataCentre as DataCentreId)
+      .slice(0, MAX_ADDRESSES)
       .map(({ callers }) => callers);
     return { addresses, ttlMs };
   }
 
-  /** VMs of a data centre, and as many others as it takes. */
-  #nearFirst(members: readonly Member[], dataCentre: DataCentreId): Member[] {
-    const near = members.filter((vm) => vm.data_centre === dataCentre);
-    const far = this.#shuffled(
+  /** VMs of the data centre first, then as many remote VMs as needed. */
+  #localFirst(members: readonly Member[], dataCentre: DataCentreId): Member[] {
+    const local = members.filter((vm) => vm.data_centre === dataCentre);
+    const remote = this.#shuffled(
       members.filter((vm) => vm.data_centre !== dataCentre),
     );
-    if (near.length < ENOUGH_NEAR) return [...near, ...far];
-    const named = this.#shuffled(near).slice(0, MOST_NEAR);
-    const few = Math.ceil(named.length / NEAR_FOR_EACH_FAR);
-    return [...named, ...far.slice(0, few)];
+    if (local.length < MIN_LOCAL_VMS) return [...local, ...remote];
+    const chosen = this.#shuffled(local).slice(0, MAX_LOCAL_ADDRESSES);
+    const remoteCount = Math.ceil(chosen.length / LOCAL_PER_REMOTE);
+    return [...chosen, ...remote.slice(0, remoteCount)];
   }
 
-  /** In an order of this VM's own, so that callers of different VMs spread over all. */
+  /** Each VM has its own order, so that callers of different VMs spread over the fleet. */
   #shuffled(members: readonly Member[]): Member[] {
     const { vmSettings, unitHash } = this.#deps;
     const rank = ({ id }: Member) => unitHash(`callers/${vmSettings.vm}/${id}`);
--- a/src/gateway/address_list_test.ts
+++ b/src/gateway/address_list_test.ts
@@ -10,8 +10,8 @@
 import type { Readiness } from "./readiness.ts";
 
 const DATA_CENTRES = ["north", "south", "west"];
-const HERE = "north";
-const MOST_ADDRESSES = 64;
+const LOCAL = "north";
+const MAX_ADDRESSES = 64;
 
 function vmOf(at: number): Member {
   return testMember(`vm-${at}`, {
@@ -21,10 +21,14 @@
   });
 }
 
-/** What the first of so many VMs, a third in each data centre, names to callers. */
-function named(vms: number, dataCentre: string, asked = 0): readonly string[] {
+/** Addresses that VM `vm` returns in a fleet with a third of its VMs in each data centre. */
+function addressesFrom(
+  vms: number,
+  dataCentre: string,
+  vm = 0,
+): readonly string[] {
   const members = Array.from({ length: vms }, (_, at) => vmOf(at));
-  const self = members[asked] as Member;
+  const self = members[vm] as Member;
   const memberTable = new MemberTable(self);
   memberTable.merge(members.filter((member) => member !== self), 0);
   const list = new AddressList({
@@ -39,40 +43,40 @@
   return list.answer(dataCentre).addresses;
 }
 
-function nearIn(addresses: readonly string[], dataCentre: string): number {
+function countIn(addresses: readonly string[], dataCentre: string): number {
   return addresses.filter((address) => address.startsWith(dataCentre)).length;
 }
 
-describe("list of addresses", () => {
-  it("should name all VMs of a small fleet, those of the caller's data centre first", () => {
-    const addresses = named(6, HERE);
+describe("AddressList", () => {
+  it("should list all VMs of a small fleet, those of the caller's data centre first", () => {
+    const addresses = addressesFrom(6, LOCAL);
     assert.equal(addresses.length, 6);
-    assert.equal(nearIn(addresses.slice(0, 2), HERE), 2);
+    assert.equal(countIn(addresses.slice(0, 2), LOCAL), 2);
   });
 
-  // Callers draw one of the addresses by chance. In a fleet of 85 VMs, 28 here and 36 others
-  // were named, so that most requests began in another data centre.
-  it("should name few VMs elsewhere where there are enough in the caller's data centre", () => {
-    const addresses = named(84, HERE);
-    assert.equal(nearIn(addresses, HERE), 28);
+  // Callers pick one of the addresses at random. In a fleet of 85 VMs, 28 local and 36 remote
+  // addresses were listed, so that most requests began in another data centre.
+  it("should list few remote VMs if there are enough in the caller's data centre", () => {
+    const addresses = addressesFrom(84, LOCAL);
+    assert.equal(countIn(addresses, LOCAL), 28);
     assert.equal(addresses.length, 28 + 4);
   });
 
-  it("should name some elsewhere however many VMs are near, and not too many in all", () => {
-    const addresses = named(300, HERE);
-    assert.equal(nearIn(addresses, HERE), 56);
+  it("should list some remote VMs however many are local, within the maximum", () => {
+    const addresses = addressesFrom(300, LOCAL);
+    assert.equal(countIn(addresses, LOCAL), 56);
     assert.equal(addresses.length, 56 + 7);
-    assert.ok(addresses.length <= MOST_ADDRESSES);
+    assert.ok(addresses.length <= MAX_ADDRESSES);
   });
 
-  it("should not name the same few VMs of a large fleet at each VM that is asked", () => {
+  it("should list different VMs of a large fleet depending on the VM queried", () => {
     const all = new Set(
-      [0, 3, 6, 9, 12, 15].flatMap((asked) => [...named(300, HERE, asked)]),
+      [0, 3, 6, 9, 12, 15].flatMap((vm) => [...addressesFrom(300, LOCAL, vm)]),
     );
-    assert.ok(nearIn([...all], HERE) > 95);
+    assert.ok(countIn([...all], LOCAL) > 95);
   });
 
-  it("should name all to a caller who does not say where it is", () => {
-    assert.equal(named(30, "").length, 30);
+  it("should list all VMs to a caller that does not specify its data centre", () => {
+    assert.equal(addressesFrom(30, "").length, 30);
   });
 });
--- a/src/gateway/cold_server_guard.ts
+++ b/src/gateway/cold_server_guard.ts
@@ -1,4 +1,4 @@
-/** Keeps cold backend servers from more work than they bear. */
+/** Limits the load on cold backend servers while they warm up. */
 
 import type { InstanceId, ServiceId } from "../core/ids.ts";
 import type { Warmup } from "../core/routes/route.ts";
@@ -15,7 +15,7 @@
   readonly clock: Clock;
 }
 
-/** Joins what servers tell, what services bear, and what this VM may send. */
+/** Combines reported warm-up times, warm-up limits of services, and this VM's share of them. */
 export class ColdServerGuard {
   readonly #deps: Deps;
 
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Takes servers as cold that are given work again after an evacuation: they may have been
-   * restarted meanwhile, and their own word of it may still be on its way.
+   * Treats servers as cold when they get work again after an evacuation: they may have been
+   * restarted meanwhile, and their own report may not have arrived yet.
    */
-  presumeCold(servers: readonly ServerRecord[]): void {
+  assumeCold(servers: readonly ServerRecord[]): void {
     const { coldServers, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     for (const { instance, service } of servers) {
@@ -36,8 +36,8 @@
     }
   }
 
-  /** Servers of a service that bear a request of this VM now. */
-  bearing(
+  /** Servers of a service that are warm, or to which this VM may send one more request now. */
+  withWarmupCapacity(
     service: ServiceId,
     servers: readonly ServerRecord[],
   ): readonly ServerRecord[] {
@@ -46,29 +46,28 @@
     const warmup = this.#warmup(service);
     if (warmup === undefined || coldServers.count(nowMs) === 0) return servers;
     return servers.filter(({ instance }) =>
-      this.#bears(instance, { warmup, nowMs })
+      this.#hasCapacity(instance, { warmup, nowMs })
     );
   }
 
-  /** Milliseconds until a server is warm; 0 when it is. */
+  /** Milliseconds until a server is warm; 0 if it is. */
   warmInMs({ instance }: ServerRecord): number {
     const { coldServers, clock } = this.#deps;
     return coldServers.leftMs(instance, clock.monotonicMs());
   }
 
-  /** Whether a server is cold now. */
   isCold(server: ServerRecord): boolean {
     return this.warmInMs(server) > 0;
   }
 
-  /** Counts a request that is about to be sent, if its server is cold. */
-  sending(server: ServerRecord): void {
+  /** Counts a request that is about to be sent against the warm-up limit of a cold server. */
+  recordSend(server: ServerRecord): void {
     if (!this.isCold(server)) return;
     const { coldAdmission, clock } = this.#deps;
     coldAdmission.sent(server.instance, clock.monotonicMs());
   }
 
-  #bears(
+  #hasCapacity(
     instance: InstanceId,
     { warmup, nowMs }: { warmup: Warmup; nowMs: number },
   ): boolean {
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -1,4 +1,4 @@
-/** Small HTTP servers: readiness for the platform, addresses for callers, metrics. */
+/** HTTP servers for the platform's readiness checks, callers' address lookups and metrics. */
 
 import fastify, { type FastifyInstance } from "fastify";
 import type { CrashBook } from "../core/crashes/crash_book.ts";
@@ -44,7 +44,7 @@
   readonly logger: Logger;
 }
 
-/** Serves all that is not a caller's request. */
+/** Serves readiness, addresses and metrics, each on an address of its own. */
 export class ControlServer {
   readonly #deps: Deps;
   readonly #servers: FastifyInstance[] = [];
@@ -53,7 +53,7 @@
     this.#deps = deps;
   }
 
-  /** Starts to listen on each address that the settings name. */
+  /** Listens on each address given in the settings. */
   async listen(): Promise<void> {
     const { listen, ip, metricsPort } = this.#deps.vmSettings;
     const ready = listen.readiness;
@@ -65,7 +65,7 @@
     try {
       await this.#serveMetrics(metrics);
     } catch (err) {
-      // Callers come first: a VM without figures is better than none.
+      // Serving callers takes precedence: a VM without metrics is better than no VM.
       this.#deps.logger.warn("Metrics are not served", {
         address: metrics,
         reason: (err as Error).message,
@@ -73,13 +73,13 @@
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all servers and their connections. */
   async close(): Promise<void> {
     await Promise.all(this.#servers.map((server) => server.close()));
   }
 
   async #serveReadiness(address: string): Promise<void> {
-    const server = this.#newServer();
+    const server = this.#createServer();
     const { readiness } = this.#deps;
     server.get(
       READINESS_PATH,
@@ -92,12 +92,12 @@
   }
 
   async #serveAddresses(address: string): Promise<void> {
-    const server = this.#newServer();
+    const server = this.#createServer();
     const { addressList } = this.#deps;
     server.get(ADDRESSES_PATH, (req, reply) => {
       const query = req.url.slice(req.url.indexOf("?") + 1);
       const answer = addressList.answer(callerDataCentre(query));
-      // A VM that knows nobody to name lets the caller ask another one.
+      // Without any address to return, 503 makes the caller query another VM.
       if (answer.addresses.length === 0) return reply.code(503).send();
       return reply.type("application/json").send(encodeAddresses(answer));
     });
@@ -105,17 +105,17 @@
   }
 
   async #serveMetrics(address: string): Promise<void> {
-    const server = this.#newServer();
+    const server = this.#createServer();
     const { registry } = this.#deps.gatewayMetrics;
     server.get(METRICS_PATH, async (_req, reply) => {
-      this.#measure();
+      this.#updateGauges();
       return reply.type(registry.contentType).send(await registry.metrics());
     });
     await listenHttp(server, address);
   }
 
-  /** Brings the gauges up to date: what this VM believes now. */
-  #measure(): void {
+  /** Sets the gauges to the current state as this VM sees it. */
+  #updateGauges(): void {
     const { gatewayMetrics, routingFollower, memberTable } = this.#deps;
     const { serverDirectory, coldServers, serverRests, serverLimits } =
       this.#deps;
@@ -127,15 +127,17 @@
     gatewayMetrics.unreadableServers.set(this.#deps.serverFollower.unreadable);
     gatewayMetrics.evacuatedDataCentres.set(serverDirectory.evacuated.size);
     gatewayMetrics.coldServers.set(coldServers.count(clock.monotonicMs()));
-    gatewayMetrics.restingServers.set(serverRests.count(clock.monotonicMs()));
-    gatewayMetrics.limitedServers.set(serverLimits.count(clock.monotonicMs()));
+    gatewayMetrics.serversInBackoff.set(serverRests.count(clock.monotonicMs()));
+    gatewayMetrics.rateLimitedServers.set(
+      serverLimits.count(clock.monotonicMs()),
+    );
     gatewayMetrics.leavingServers.set(serverDirectory.leavingLives().length);
     gatewayMetrics.suspectedRequests.set(crashBook.size);
     gatewayMetrics.poisonRequests.set(crashBook.poison.size);
     gatewayMetrics.members.set(memberTable.others().length);
   }
 
-  #newServer(): FastifyInstance {
+  #createServer(): FastifyInstance {
     const server = fastify({ forceCloseConnections: true });
     this.#servers.push(server);
     return server;
--- a/src/gateway/control_server_test.ts
+++ b/src/gateway/control_server_test.ts
@@ -8,10 +8,10 @@
 import { GatewayMetrics } from "./gateway_metrics.ts";
 
 describe("control server", () => {
-  it("should serve all else where the port of the metrics is taken, and say so", async () => {
-    const other = createServer().listen(0, "127.0.0.1");
-    await once(other, "listening");
-    const metricsPort = (other.address() as AddressInfo).port;
+  it("should start without metrics and log a warning if the metrics port is taken", async () => {
+    const blocker = createServer().listen(0, "127.0.0.1");
+    await once(blocker, "listening");
+    const metricsPort = (blocker.address() as AddressInfo).port;
     const warnings: string[] = [];
     const server = new ControlServer(
       {
@@ -25,6 +25,6 @@
     await server.listen();
     assert.deepEqual(warnings, ["Metrics are not served"]);
     await server.close();
-    other.close();
+    blocker.close();
   });
 });
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -94,7 +94,7 @@
       endedMs: endedMs - record.startedMs,
     });
     if (!await serverEndCheck.hasEnded(server)) return;
-    gatewayMetrics.serverEnds.inc({ service: watched.service });
+    gatewayMetrics.serverExits.inc({ service: watched.service });
     const crash = this.#crashOf(watched, { broken, endedMs });
     this.#log(crash, { watched, broken, suspected });
     if (suspected) this.#deps.crashNews.seen(crash);
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of a gateway together. */
+/** Dependency injection container of the gateway. */
 
 import {
   asFunction,
@@ -75,7 +75,7 @@
 import { RequestServer } from "./request_server.ts";
 import { SeedList } from "./seed_list.ts";
 import { ServerGate } from "./server_gate.ts";
-import { ServerNotices } from "./server_notices.ts";
+import { ServerNoticeHandler } from "./server_notice_handler.ts";
 import { ServerSelector } from "./server_selector.ts";
 import { StopState } from "./stop_state.ts";
 import { SuspectPlaces } from "./suspect_places.ts";
@@ -84,17 +84,17 @@
 import { TrialController } from "./trial_controller.ts";
 import { WorkPredictor } from "./work_predictor.ts";
 
-/** What other VMs tell of sessions is up to this old. */
-const SESSION_MARGIN_MS = 1_000;
+/** Session data gossiped by other VMs may be up to this old. */
+const SESSION_GOSSIP_DELAY_MS = 1_000;
 
-/** What a gateway is built from. */
+/** Inputs from which a gateway is built. */
 export interface GatewayOptions {
   readonly vmSettings: VmSettings;
   readonly logger: Logger;
 }
 
-/** Parts that the process starts and stops, by name. */
-export interface GatewayParts {
+/** Components that the gateway process uses directly, by registration name. */
+export interface GatewayComponents {
   readonly clock: Clock;
   readonly memberTable: MemberTable;
   readonly objectStore: HttpObjectStore;
@@ -124,11 +124,11 @@
   readonly vmRegistry: VmRegistry;
 }
 
-/** Returns a container with all parts of one gateway. */
+/** Returns a container with all components of one gateway. */
 export function createGatewayContainer(
   { vmSettings, logger }: GatewayOptions,
-): AwilixContainer<GatewayParts> {
-  const container = createContainer<GatewayParts>({
+): AwilixContainer<GatewayComponents> {
+  const container = createContainer<GatewayComponents>({
     injectionMode: InjectionMode.PROXY,
     strict: true,
   });
@@ -140,77 +140,77 @@
     unitHash: asValue(unitHash),
     clock: asFunction(() => new SystemClock()).singleton(),
   });
-  const parts = {} as GatewayParts;
-  container.register({ trustClock: singletonsOf(parts)(TrustClock) });
-  const registering = { vmSettings, one: singletonsOf(parts) };
-  registerDecisions(container, registering);
-  registerEdges(container, registering);
-  resolveOnce(container, parts);
+  const components = {} as GatewayComponents;
+  container.register({ trustClock: singletonFactory(components)(TrustClock) });
+  const context = { vmSettings, singleton: singletonFactory(components) };
+  registerCore(container, context);
+  registerAdapters(container, context);
+  defineLazyProperties(container, components);
   return container;
 }
 
-/** Makes one instance of a class, which finds its parts in the container. */
-type One = <T>(type: new (parts: never) => T) => Resolver<T>;
+/** Returns a resolver for a single instance of a class, which gets its dependencies injected. */
+type SingletonFactory = <T>(type: new (components: never) => T) => Resolver<T>;
 
-interface Registering {
+interface RegistrationContext {
   readonly vmSettings: VmSettings;
-  readonly one: One;
+  readonly singleton: SingletonFactory;
 }
 
-function singletonsOf(parts: GatewayParts): One {
-  return (type) => asFunction(() => new type(parts as never)).singleton();
+function singletonFactory(components: GatewayComponents): SingletonFactory {
+  return (type) => asFunction(() => new type(components as never)).singleton();
 }
 
 /**
- * Gives `parts` a property for each part, which is resolved when it is first asked for and
- * plain from then on: the container's own object resolves a part at each access.
+ * Defines a property on `components` for each registration. It is resolved on first access and
+ * a plain value from then on, whereas the cradle of awilix resolves it on every access.
  */
-function resolveOnce(
-  container: AwilixContainer<GatewayParts>,
-  parts: GatewayParts,
+function defineLazyProperties(
+  container: AwilixContainer<GatewayComponents>,
+  components: GatewayComponents,
 ): void {
   for (const name of Object.keys(container.registrations)) {
-    Object.defineProperty(parts, name, {
+    Object.defineProperty(components, name, {
       configurable: true,
       enumerable: true,
       get: () => {
         const value: unknown = container.resolve(name);
-        Object.defineProperty(parts, name, { value });
+        Object.defineProperty(components, name, { value });
         return value;
       },
     });
   }
 }
 
-function registerDecisions(
+function registerCore(
   container: AwilixContainer,
-  { vmSettings, one }: Registering,
+  { vmSettings, singleton }: RegistrationContext,
 ): void {
   const { bounds } = vmSettings;
   container.register({
-    serverDirectory: one(ServerDirectory),
-    serverLoads: one(ServerLoads),
+    serverDirectory: singleton(ServerDirectory),
+    serverLoads: singleton(ServerLoads),
     serverRests: asFunction(() => new ServerRests()).singleton(),
     serverLimits: asFunction(() => new ServerLimits()).singleton(),
-    releaseGate: one(ReleaseGate),
-    modelPace: one(ModelPace),
-    silenceWatch: one(SilenceWatch),
-    readPace: one(ReadPace),
-    workPredictor: one(WorkPredictor),
-    releaseChoice: one(ReleaseChoice),
-    evidenceBook: one(EvidenceBook),
-    trialJudge: one(TrialJudge),
+    releaseGate: singleton(ReleaseGate),
+    modelPace: singleton(ModelPace),
+    silenceWatch: singleton(SilenceWatch),
+    readPace: singleton(ReadPace),
+    workPredictor: singleton(WorkPredictor),
+    releaseChoice: singleton(ReleaseChoice),
+    evidenceBook: singleton(EvidenceBook),
+    trialJudge: singleton(TrialJudge),
     sessionBook: asValue(
-      new SessionBook(bounds.sessionGapMs + SESSION_MARGIN_MS),
+      new SessionBook(bounds.sessionGapMs + SESSION_GOSSIP_DELAY_MS),
     ),
     probeOrder: asFunction(({ chance }) => new ProbeOrder(chance)).singleton(),
     crashBook: asFunction(() => new CrashBook()).singleton(),
     coldServers: asFunction(() => new ColdServers()).singleton(),
-    coldAdmission: one(ColdAdmission),
+    coldAdmission: singleton(ColdAdmission),
     unackedAttempts: asFunction(() => new UnackedAttempts()).singleton(),
-    limitAdmission: one(LimitAdmission),
-    promptHolders: one(PromptHolders),
-    affinityChoice: one(AffinityChoice),
+    limitAdmission: singleton(LimitAdmission),
+    promptHolders: singleton(PromptHolders),
+    affinityChoice: singleton(AffinityChoice),
     fleetSize: asFunction((
       { memberTable, seedList }: {
         memberTable: MemberTable;
@@ -238,7 +238,7 @@
         data_centre: vmSettings.dataCentre,
         callers: vmSettings.listen.callers ?? "",
         peers: vmSettings.listen.peers ?? "",
-        // Grows with each start, as no state outlives the process.
+        // Increases with each start, as no state survives a restart.
         incarnation: clock.wallMs(),
         state: "alive",
         revision: NO_REVISION,
@@ -248,59 +248,59 @@
   });
 }
 
-function registerEdges(
+function registerAdapters(
   container: AwilixContainer,
-  { vmSettings, one }: Registering,
+  { vmSettings, singleton }: RegistrationContext,
 ): void {
   container.register({
     objectStore: asValue(new HttpObjectStore(vmSettings.store.address)),
-    storeHealth: one(StoreHealthKeeper),
+    storeHealth: singleton(StoreHealthKeeper),
     seenRevisions: asFunction(() => new SeenRevisions()).singleton(),
-    missedChangeDetector: one(MissedChangeDetector),
-    routingFollower: one(RoutingFollower),
-    serverFollower: one(ServerFollower),
-    rollOutFollower: one(RollOutFollower),
-    evacuationFollower: one(EvacuationFollower),
-    trialFollower: one(TrialFollower),
-    trialController: one(TrialController),
-    storeSync: one(StoreSync),
-    relayRole: one(FleetRelayRole),
-    digestKeeper: one(DigestKeeper),
-    crashNews: one(CrashNews),
-    limitNews: one(LimitNews),
-    placeLender: one(PlaceLender),
-    placeBorrower: one(PlaceBorrower),
-    digestServer: one(DigestServer),
+    missedChangeDetector: singleton(MissedChangeDetector),
+    routingFollower: singleton(RoutingFollower),
+    serverFollower: singleton(ServerFollower),
+    rollOutFollower: singleton(RollOutFollower),
+    evacuationFollower: singleton(EvacuationFollower),
+    trialFollower: singleton(TrialFollower),
+    trialController: singleton(TrialController),
+    storeSync: singleton(StoreSync),
+    relayRole: singleton(FleetRelayRole),
+    digestKeeper: singleton(DigestKeeper),
+    crashNews: singleton(CrashNews),
+    limitNews: singleton(LimitNews),
+    placeLender: singleton(PlaceLender),
+    placeBorrower: singleton(PlaceBorrower),
+    digestServer: singleton(DigestServer),
     vmClients: asFunction(() => new VmClients()).singleton(),
-    storeFeed: one(StoreFeed),
-    storeSubscriber: one(StoreSubscriber),
-    digestExchanger: one(DigestExchanger),
+    storeFeed: singleton(StoreFeed),
+    storeSubscriber: singleton(StoreSubscriber),
+    digestExchanger: singleton(DigestExchanger),
     seedList: asValue(new SeedList(vmSettings.seeds)),
-    vmRegistry: one(VmRegistry),
-    crashRegistry: one(CrashRegistry),
+    vmRegistry: singleton(VmRegistry),
+    crashRegistry: singleton(CrashRegistry),
     seedAddresses: asFunction((
       { seedList, vmRegistry }: { seedList: SeedList; vmRegistry: VmRegistry },
     ) =>
     () => [...seedList.seeds, ...vmRegistry.addresses]).singleton(),
-    backendConnections: one(BackendConnections),
-    serverProbe: one(ServerProbe),
+    backendConnections: singleton(BackendConnections),
+    serverProbe: singleton(ServerProbe),
     serverEndCheck: asFunction(() => new ServerEndCheck()).singleton(),
-    crashWatch: one(CrashWatch),
+    crashWatch: singleton(CrashWatch),
     suspectPlaces: asFunction(() => new SuspectPlaces()).singleton(),
-    stopState: one(StopState),
-    readiness: one(Readiness),
-    addressList: one(AddressList),
-    coldServerGuard: one(ColdServerGuard),
-    serverGate: one(ServerGate),
-    serverNotices: one(ServerNotices),
-    serverSelector: one(ServerSelector),
-    requestAdmission: one(RequestAdmission),
-    tryObserver: one(TryObserver),
-    trySilence: one(TrySilence),
-    attemptAcks: one(AttemptAcks),
-    requestLog: one(RequestLog),
-    requestServer: one(RequestServer),
-    gatewayMetrics: one(GatewayMetrics),
-    controlServer: one(ControlServer),
+    stopState: singleton(StopState),
+    readiness: singleton(Readiness),
+    addressList: singleton(AddressList),
+    coldServerGuard: singleton(ColdServerGuard),
+    serverGate: singleton(ServerGate),
+    serverNoticeHandler: singleton(ServerNoticeHandler),
+    serverSelector: singleton(ServerSelector),
+    requestAdmission: singleton(RequestAdmission),
+    tryObserver: singleton(TryObserver),
+    trySilence: singleton(TrySilence),
+    attemptAcks: singleton(AttemptAcks),
+    requestLog: singleton(RequestLog),
+    requestServer: singleton(RequestServer),
+    gatewayMetrics: singleton(GatewayMetrics),
+    controlServer: singleton(ControlServer),
   });
 }
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and histograms of the gateway, in the Prometheus form. */
+/** Prometheus metrics of the gateway. */
 
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
@@ -10,57 +10,58 @@
 
   readonly requests = new Counter({
     name: "fieldrack_gateway_requests_total",
-    help: "Requests that ended, by service and outcome",
+    help: "Completed requests, by service and outcome",
     labelNames: ["service", "outcome"] as const,
     registers: [this.registry],
   });
 
   readonly refusals = new Counter({
     name: "fieldrack_gateway_refusals_total",
-    help: "Requests that got no server's answer, by reason",
+    help: "Requests refused without an answer of a backend server, by reason",
     labelNames: ["reason"] as const,
     registers: [this.registry],
   });
 
   readonly streamsCut = new Counter({
     name: "fieldrack_gateway_streams_cut_total",
-    help: "Streams ended here before they were whole, by reason",
+    help: "Streams ended by this VM before they were complete, by reason",
     labelNames: ["reason"] as const,
     registers: [this.registry],
   });
 
-  readonly tries = new Counter({
+  readonly attempts = new Counter({
     name: "fieldrack_gateway_tries_total",
-    help: "Tries at backend servers, by service and outcome",
+    help: "Attempts at backend servers, by service and outcome",
     labelNames: ["service", "outcome"] as const,
     registers: [this.registry],
   });
 
   readonly unackedAttempts = new Gauge({
     name: "fieldrack_gateway_unacked_attempts",
-    help: "Attempts that their servers have not shown to have read, by service",
+    help: "Attempts not yet acknowledged by their backend servers, by service",
     labelNames: ["service"] as const,
     registers: [this.registry],
   });
 
-  readonly serverEnds = new Counter({
+  readonly serverExits = new Counter({
     name: "fieldrack_gateway_server_ends_total",
-    help: "Tries that broke off as their server had ended, by service",
+    help:
+      "Attempts interrupted by the exit of their backend server, by service",
     labelNames: ["service"] as const,
     registers: [this.registry],
   });
 
-  readonly restsAsked = new Counter({
+  readonly backoffRequests = new Counter({
     name: "fieldrack_gateway_rests_asked_total",
-    help: "Requests turned away by servers that want nothing from this VM " +
-      "for a while, by service",
+    help: "Requests rejected by backend servers that asked this VM " +
+      "to back off, by service",
     labelNames: ["service"] as const,
     registers: [this.registry],
   });
 
-  readonly limitsNamed = new Counter({
+  readonly advertisedLimits = new Counter({
     name: "fieldrack_gateway_limits_named_total",
-    help: "Answers in which servers named how much they take from all VMs, " +
+    help: "Answers with a rate limit of the backend server for all VMs, " +
       "by service",
     labelNames: ["service"] as const,
     registers: [this.registry],
@@ -68,19 +69,20 @@
 
   readonly suspectedRequests = new Gauge({
     name: "fieldrack_gateway_suspected_requests",
-    help: "Requests under which servers have ended lately, as known here",
+    help:
+      "Requests in flight at recent backend server exits, as known to this VM",
     registers: [this.registry],
   });
 
   readonly poisonRequests = new Gauge({
     name: "fieldrack_gateway_poison_requests",
-    help: "Requests that are taken to crash servers, as known here",
+    help: "Requests considered to crash backend servers, as known to this VM",
     registers: [this.registry],
   });
 
   readonly duration = new Histogram({
     name: "fieldrack_gateway_request_seconds",
-    help: "Time to the whole answer, in seconds, by service",
+    help: "Time to the complete answer in seconds, by service",
     labelNames: ["service"] as const,
     buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
@@ -94,55 +96,57 @@
 
   readonly confirmationAge = new Gauge({
     name: "fieldrack_gateway_confirmation_age_seconds",
-    help: "Time since the configuration was last confirmed as the newest",
+    help:
+      "Time in seconds since the configuration was last confirmed as the newest",
     registers: [this.registry],
   });
 
   readonly servers = new Gauge({
     name: "fieldrack_gateway_servers",
-    help: "Backend servers that are known",
+    help: "Known backend servers",
     registers: [this.registry],
   });
 
   readonly unreadableServers = new Gauge({
     name: "fieldrack_gateway_unreadable_servers",
-    help: "Entries in the list of backend servers that name none",
+    help: "Entries in the list of backend servers that cannot be decoded",
     registers: [this.registry],
   });
 
   readonly coldServers = new Gauge({
     name: "fieldrack_gateway_cold_servers",
-    help: "Backend servers that are cold, as far as is known here",
+    help: "Cold backend servers, as known to this VM",
     registers: [this.registry],
   });
 
-  readonly restingServers = new Gauge({
+  readonly serversInBackoff = new Gauge({
     name: "fieldrack_gateway_resting_servers",
-    help: "Backend servers that have asked this VM for rest that is not over",
+    help:
+      "Backend servers that have asked this VM to back off and still are in that period",
     registers: [this.registry],
   });
 
-  readonly limitedServers = new Gauge({
+  readonly rateLimitedServers = new Gauge({
     name: "fieldrack_gateway_limited_servers",
-    help: "Backend servers that take only so many requests from all VMs",
+    help: "Backend servers with a rate limit for all VMs",
     registers: [this.registry],
   });
 
   readonly leavingServers = new Gauge({
     name: "fieldrack_gateway_leaving_servers",
-    help: "Backend servers that have said in an answer that they leave",
+    help: "Backend servers that have announced their shutdown in an answer",
     registers: [this.registry],
   });
 
   readonly evacuatedDataCentres = new Gauge({
     name: "fieldrack_gateway_evacuated_data_centres",
-    help: "Data centres whose servers get no new work from here",
+    help: "Data centres whose backend servers get no new work from this VM",
     registers: [this.registry],
   });
 
   readonly members = new Gauge({
     name: "fieldrack_gateway_vms",
-    help: "Other entry VMs that are not dead, as seen here",
+    help: "Other entry VMs that are not considered dead by this VM",
     registers: [this.registry],
   });
 }
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -1,4 +1,4 @@
-/** The long-running process of a VM on the users' platform: its start and its stop. */
+/** The long-running gateway process of a VM: start, drain and stop. */
 
 import type { Revision } from "../core/ids.ts";
 import { pause } from "../runtime/pause.ts";
@@ -7,28 +7,27 @@
 import type { Logger } from "../runtime/logger.ts";
 import {
   createGatewayContainer,
+  type GatewayComponents,
   type GatewayOptions,
-  type GatewayParts,
 } from "./gateway_container.ts";
 
-/** Time between looks for requests that are still under way during a stop. */
-const POLL_MS = 50;
-/** Time before the kill at which the process ends by itself. */
-const END_MARGIN_MS = 150;
-/** Time between heartbeats of the retry budget. */
-const HEARTBEAT_MS = 150;
-/** Time for which callers may still come although nothing is under way. */
-const QUIET_SHARE = 0.8;
+/** Interval between checks for in-flight requests during a drain. */
+const DRAIN_POLL_INTERVAL_MS = 50;
+/** Time before the platform kills the process at which it ends by itself. */
+const EXIT_MARGIN_MS = 150;
+const RETRY_BUDGET_HEARTBEAT_MS = 150;
+/** Share of the grace period in which callers may still arrive although none is in flight. */
+const MIN_DRAIN_SHARE = 0.8;
 
-/** One gateway. */
+/** Runs the components of one gateway. */
 export class GatewayProcess {
-  readonly #parts: GatewayParts;
+  readonly #components: GatewayComponents;
   readonly #options: GatewayOptions;
   readonly #logger: Logger;
   readonly #heartbeat = new RepeatedTask({
-    intervalMs: HEARTBEAT_MS,
+    intervalMs: RETRY_BUDGET_HEARTBEAT_MS,
     run: () => {
-      const { retryBudget, clock } = this.#parts;
+      const { retryBudget, clock } = this.#components;
       retryBudget.heartbeat(clock.monotonicMs());
       return Promise.resolve();
     },
@@ -36,97 +35,99 @@
 
   constructor(options: GatewayOptions) {
     this.#options = options;
-    this.#parts = createGatewayContainer(options).cradle;
+    this.#components = createGatewayContainer(options).cradle;
     this.#logger = options.logger;
   }
 
-  /** Starts to follow the store and to serve. */
+  /** Starts following the store and serving requests. */
   async start(): Promise<void> {
-    const parts = this.#parts;
+    const components = this.#components;
     const { listen } = this.#options.vmSettings;
     this.#heartbeat.start();
-    // Decides which kinds this VM reads, before any is read.
-    parts.storeSync.setAccess("reader");
-    parts.routingFollower.start();
-    parts.rollOutFollower.start();
-    parts.evacuationFollower.start();
-    parts.serverFollower.start();
-    parts.serverFollower.onRemoved(({ instance }) => {
-      parts.backendConnections.drop(instance);
-      parts.coldAdmission.forget(instance);
-      parts.limitAdmission.forget(instance);
-      parts.serverLoads.forget(instance);
-      parts.silenceWatch.forgetLongSilent(parts.clock.monotonicMs());
-      parts.serverProbe.forget(instance);
-      parts.promptHolders.ended(instance, parts.clock.monotonicMs());
+    // Sets which object kinds this VM reads from the store, before any is read.
+    components.storeSync.setAccess("reader");
+    components.routingFollower.start();
+    components.rollOutFollower.start();
+    components.evacuationFollower.start();
+    components.serverFollower.start();
+    components.serverFollower.onRemoved(({ instance }) => {
+      components.backendConnections.drop(instance);
+      components.coldAdmission.forget(instance);
+      components.limitAdmission.forget(instance);
+      components.serverLoads.forget(instance);
+      components.silenceWatch.forgetLongSilent(components.clock.monotonicMs());
+      components.serverProbe.forget(instance);
+      components.promptHolders.ended(instance, components.clock.monotonicMs());
     });
-    parts.evacuationFollower.onReturn((servers) =>
-      parts.coldServerGuard.presumeCold(servers)
+    components.evacuationFollower.onReturn((servers) =>
+      components.coldServerGuard.assumeCold(servers)
     );
-    parts.routingFollower.onChange(({ configuration, version }) => {
-      parts.requestServer.setLimits(configuration.limits);
-      parts.memberTable.setOwnRevision(version as Revision);
+    components.routingFollower.onChange(({ configuration, version }) => {
+      components.requestServer.setLimits(configuration.limits);
+      components.memberTable.setOwnRevision(version as Revision);
     });
-    parts.trialFollower.start();
+    components.trialFollower.start();
     if (listen.peers !== undefined) {
-      await parts.digestServer.listen(listen.peers);
-      parts.digestExchanger.start();
+      await components.digestServer.listen(listen.peers);
+      components.digestExchanger.start();
     }
-    parts.trialController.start();
+    components.trialController.start();
     if (listen.callers !== undefined) {
-      await parts.requestServer.listen(listen.callers);
+      await components.requestServer.listen(listen.callers);
     }
-    await parts.controlServer.listen();
-    this.#logger.info("Gateway serves", {
+    await components.controlServer.listen();
+    this.#logger.info("Gateway started", {
       callers: listen.callers,
       peers: listen.peers,
       store: this.#options.vmSettings.store.address,
     });
   }
 
-  /** Planned stop: callers are sent elsewhere, and those that still come are served. */
+  /** Planned shutdown: sends callers to other VMs and serves those that still arrive. */
   async drain(): Promise<void> {
-    const { stopState, memberTable, requestServer } = this.#parts;
+    const { stopState, memberTable, requestServer } = this.#components;
     stopState.begin();
     memberTable.leave();
-    void this.#parts.digestExchanger.announce();
-    this.#logger.info("Gateway leaves", { in_flight: requestServer.inFlight });
+    void this.#components.digestExchanger.announce();
+    this.#logger.info("Gateway is draining", {
+      in_flight: requestServer.inFlight,
+    });
     const { stopGraceMs } = this.#options.vmSettings.bounds;
-    const quietMs = stopGraceMs * (1 - QUIET_SHARE);
-    while (stopState.leftMs() > END_MARGIN_MS) {
+    const idleExitMs = stopGraceMs * (1 - MIN_DRAIN_SHARE);
+    while (stopState.graceLeftMs() > EXIT_MARGIN_MS) {
       const idle = requestServer.inFlight === 0;
-      if (idle && stopState.leftMs() < quietMs) break;
-      await pause(POLL_MS);
+      if (idle && stopState.graceLeftMs() < idleExitMs) break;
+      await pause(DRAIN_POLL_INTERVAL_MS);
     }
-    this.#logger.info("Gateway has stopped", {
+    this.#logger.info("Gateway drain finished", {
       in_flight: requestServer.inFlight,
     });
   }
 
-  /** Takes in settings that have changed; addresses to listen on need a restart. */
+  /** Applies changed settings; changed listen addresses need a restart. */
   reload(settings: VmSettings): void {
-    this.#parts.seedList.replace(settings.seeds);
-    this.#logger.info("Settings are in force", {
+    this.#components.seedList.replace(settings.seeds);
+    this.#logger.info("Settings reloaded", {
       seeds: settings.seeds.length,
     });
   }
 
-  /** Ends at once all that was started. */
+  /** Stops all components without waiting for requests. */
   async stop(): Promise<void> {
-    const parts = this.#parts;
+    const components = this.#components;
     this.#heartbeat.stop();
-    parts.trialController.stop();
-    parts.trialFollower.stop();
-    parts.evacuationFollower.stop();
-    parts.rollOutFollower.stop();
-    parts.serverFollower.stop();
-    parts.routingFollower.stop();
-    await parts.digestExchanger.stop();
-    parts.storeFeed.flush();
-    await parts.requestServer.close();
-    await parts.digestServer.close();
-    await parts.controlServer.close();
-    parts.backendConnections.close();
-    await parts.objectStore.close();
+    components.trialController.stop();
+    components.trialFollower.stop();
+    components.evacuationFollower.stop();
+    components.rollOutFollower.stop();
+    components.serverFollower.stop();
+    components.routingFollower.stop();
+    await components.digestExchanger.stop();
+    components.storeFeed.flush();
+    await components.requestServer.close();
+    await components.digestServer.close();
+    await components.controlServer.close();
+    components.backendConnections.close();
+    await components.objectStore.close();
   }
 }
--- a/src/gateway/readiness.ts
+++ b/src/gateway/readiness.ts
@@ -1,4 +1,4 @@
-/** Whether callers should be sent to this VM. */
+/** Readiness of this VM to serve callers. */
 
 import type { EvacuationFollower } from "../store/evacuation_follower.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
@@ -12,7 +12,7 @@
   readonly stopState: StopState;
 }
 
-/** Joins what a VM needs in order to serve. */
+/** Combines the conditions under which a VM can serve requests. */
 export class Readiness {
   readonly #deps: Deps;
 
@@ -20,7 +20,7 @@
     this.#deps = deps;
   }
 
-  /** Whether requests can be served here. */
+  /** Whether the data needed for routing is loaded and the VM is not shutting down. */
   isReady(): boolean {
     const { routingFollower, rollOutFollower, evacuationFollower, stopState } =
       this.#deps;
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -102,7 +102,7 @@
   }
 
   #count(exchange: CallerExchange, { service, tries }: RunSummary): void {
-    const { requests, duration, tries: triesMetric } = this.#metrics;
+    const { requests, duration, attempts: triesMetric } = this.#metrics;
     requests.inc({ service, outcome: outcomeOf(exchange) });
     duration.observe({ service }, exchange.ageMs() / MS_PER_SECOND);
     for (const { outcome } of tries) triesMetric.inc({ service, outcome });
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -84,7 +84,7 @@
     this.#deps = deps;
     this.#exchange = exchange;
     this.#admitted = admitted;
-    this.#service = deps.serverSelector.serviceFor(admitted.route);
+    this.#service = deps.serverSelector.pickService(admitted.route);
     this.#retryPermit = new RetryPermit(deps, this.#service);
     const { head, method, host, url } = exchange;
     const { account, route } = admitted;
--- a/src/gateway/seed_list.ts
+++ b/src/gateway/seed_list.ts
@@ -1,6 +1,6 @@
-/** Addresses of VMs that may be there, from the settings as they stand now. */
+/** Seed addresses of VMs from the current settings. */
 
-/** Replaced when the settings change. */
+/** Holds the seed addresses until the settings are reloaded. */
 export class SeedList {
   #seeds: readonly string[];
 
@@ -8,12 +8,12 @@
     this.#seeds = seeds;
   }
 
-  /** Peer addresses; they may be stale. */
+  /** Peer addresses; some may be stale. */
   get seeds(): readonly string[] {
     return this.#seeds;
   }
 
-  /** Takes in changed settings. */
+  /** Replaces the addresses after a change of the settings. */
   replace(seeds: readonly string[]): void {
     this.#seeds = seeds;
   }
--- a/src/gateway/server_gate.ts
+++ b/src/gateway/server_gate.ts
@@ -40,7 +40,7 @@
     service: ServiceId,
     servers: readonly ServerRecord[],
   ): readonly ServerRecord[] {
-    return this.#deps.coldServerGuard.bearing(service, servers);
+    return this.#deps.coldServerGuard.withWarmupCapacity(service, servers);
   }
 
   /** Servers that take a request of this VM now: they do not rest, and their limit has room. */
@@ -90,7 +90,7 @@
   sending(server: ServerRecord): SendPlace {
     const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
       this.#deps;
-    coldServerGuard.sending(server);
+    coldServerGuard.recordSend(server);
     if (serverRests.sending(server, clock.monotonicMs())) {
       logger.info("Server is used again after its rest", {
         server: lifeOf(server),
--- a/src/gateway/server_notices.ts
+++ b/src/gateway/server_notice_handler.ts
@@ -1,4 +1,4 @@
-/** Takes in what backend servers say of themselves, whatever else becomes of their answers. */
+/** Handles the notices of backend servers, also where the answers they came with are discarded. */
 
 import type { ServerLimits } from "../core/servers/server_limits.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
@@ -23,29 +23,30 @@
   readonly logger: Logger;
 }
 
-/** Keeps notices, which go before what a VM has guessed of a server. */
-export class ServerNotices {
+/** Records server notices, which take precedence over a VM's own estimates of a server. */
+export class ServerNoticeHandler {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Notes what a server has said. */
-  heard(
+  /** Applies the backoff, shutdown and rate limit of a notice. */
+  handleNotice(
     server: ServerRecord,
     { restMs, leaves, limitPerS }: ServerNotice,
   ): void {
-    if (restMs > 0) this.#asksForRest(server, restMs);
+    if (restMs > 0) this.#applyBackoff(server, restMs);
     if (leaves) this.#deps.serverFollower.leaves(server);
-    if (limitPerS !== undefined) this.#namesLimit(server, limitPerS);
+    if (limitPerS !== undefined) this.#applyLimit(server, limitPerS);
   }
 
   /**
-   * Notes a sound answer to a request that was sent at such a time. A limit holds for as long as
-   * the server names it; answers that are none, as of a probe, may lack it all the same.
+   * Handles a successful answer to a request that was sent at `sentMs`. A rate limit applies for as
+   * long as the server advertises it, so an answer without one ends it. Other responses, such as
+   * those to probes, may omit a limit that still applies.
    */
-  answered(
+  handleAnswer(
     server: ServerRecord,
     { limitPerS }: ServerNotice,
     sentMs: number,
@@ -53,21 +54,21 @@
     if (limitPerS !== undefined) return;
     const { serverLimits, logger } = this.#deps;
     if (!serverLimits.namesNone(server, sentMs)) return;
-    logger.info("Server names no limit any more", {
+    logger.info("Server no longer advertises a rate limit", {
       server: lifeOf(server),
       service: server.service,
     });
   }
 
-  #namesLimit(server: ServerRecord, limitPerS: number): void {
+  #applyLimit(server: ServerRecord, limitPerS: number): void {
     const { serverLimits, serverLoads, gatewayMetrics, clock, logger } =
       this.#deps;
     const { instance, service } = server;
-    gatewayMetrics.limitsNamed.inc({ service });
+    gatewayMetrics.advertisedLimits.inc({ service });
     const before = serverLimits.of(server);
     const atMs = clock.monotonicMs();
     if (!serverLimits.hear({ life: server, limitPerS, atMs })) return;
-    logger.info("Server names a limit", {
+    logger.info("Server advertises a rate limit", {
       server: lifeOf(server),
       service,
       limit_per_s: limitPerS,
@@ -77,15 +78,15 @@
     });
   }
 
-  #asksForRest(server: ServerRecord, restMs: number): void {
+  #applyBackoff(server: ServerRecord, restMs: number): void {
     const { serverRests, serverLoads, gatewayMetrics, clock, logger } =
       this.#deps;
     const { instance, service } = server;
-    gatewayMetrics.restsAsked.inc({ service });
+    gatewayMetrics.backoffRequests.inc({ service });
     const nowMs = clock.monotonicMs();
-    // What was on its way is turned away as well, and tells nothing new.
+    // Requests already in flight are rejected too; their notices are not logged again.
     if (!serverRests.ask(server, { restMs, nowMs })) return;
-    logger.info("Server asks for rest", {
+    logger.info("Server requested backoff", {
       server: lifeOf(server),
       service,
       asked_ms: Math.round(restMs),
--- a/src/gateway/server_selector.ts
+++ b/src/gateway/server_selector.ts
@@ -1,4 +1,4 @@
-/** Chooses service and server for a request. */
+/** Chooses the service and the backend server for a request. */
 
 import type {
   DataCentreId,
@@ -42,19 +42,19 @@
   readonly chance: () => number;
 }
 
-/** What a server is chosen for. */
-export interface Selection {
+/** Criteria by which a backend server is chosen. */
+export interface SelectionCriteria {
   readonly service: ServiceId;
   readonly head: CallerHead;
   readonly model: ModelId | undefined;
   readonly tried: ReadonlySet<InstanceId>;
-  /** Whether servers may have read the request before. */
+  /** Whether an earlier attempt may have been read by a server. */
   readonly isRetry: boolean;
-  /** What a server pays that does not hold the shared parts of the prompt. */
+  /** Extra work for a server that does not have the shared prompt prefix cached. */
   readonly sharedMs: number;
 }
 
-/** Joins the directory of servers, roll-outs and loads. */
+/** Combines the server directory, roll-outs, admission and load into one choice. */
 export class ServerSelector {
   readonly #deps: Deps;
 
@@ -62,21 +62,21 @@
     this.#deps = deps;
   }
 
-  /** Picks one of the services of a route, by weight. */
-  serviceFor({ targets }: Route): ServiceId {
+  /** Picks one of the services of a route at random, by weight. */
+  pickService({ targets }: Route): ServiceId {
     const total = targets.reduce((sum, target) => sum + target.weight, 0);
-    let point = this.#deps.chance() * total;
+    let remaining = this.#deps.chance() * total;
     for (const { service, weight } of targets) {
-      point -= weight;
-      if (point < 0) return service;
+      remaining -= weight;
+      if (remaining < 0) return service;
     }
     return targets.at(-1)?.service ?? ("" as ServiceId);
   }
 
-  /** Whether a server is known to hold what a request shares with others. */
-  holds(
+  /** Whether a server is known to have the shared prompt prefix of a request cached. */
+  hasCachedPrompt(
     { instance }: ServerRecord,
-    { head, model }: Pick<Selection, "head" | "model">,
+    { head, model }: Pick<SelectionCriteria, "head" | "model">,
   ): boolean {
     const { promptHolders, clock } = this.#deps;
     const key = promptKeyOf(head, model);
@@ -84,56 +84,65 @@
     return promptHolders.of(key, clock.monotonicMs()).has(instance);
   }
 
-  /** Returns the server to use; undefined when none takes new work. */
-  choose(selection: Selection): ServerRecord | undefined {
+  /** Returns the server to use; undefined if none accepts new work. */
+  choose(selection: SelectionCriteria): ServerRecord | undefined {
     const { serverGate } = this.#deps;
-    for (const candidates of this.#candidates(selection)) {
-      const open = this.#responsive(serverGate.open(candidates), selection);
-      const server = this.#among(open, selection);
+    for (const candidates of this.#candidateSets(selection)) {
+      const open = this.#responsiveServers(
+        serverGate.open(candidates),
+        selection,
+      );
+      const server = this.#chooseAmong(open, selection);
       if (server !== undefined) return server;
-      // A session keeps its release where none of its servers has room: they soon have again.
-      const noneOpen = open.length === 0 && candidates.length > 0;
-      if (noneOpen && this.#belongsTo(selection, candidates)) return undefined;
+      // A session stays on its release while all servers of that release are full, as they soon
+      // accept work again.
+      const allClosed = open.length === 0 && candidates.length > 0;
+      if (allClosed && this.#isPinned(selection, candidates)) return undefined;
     }
     return undefined;
   }
 
   /**
-   * Milliseconds until one of the servers that a request may go to takes it, where all of them
-   * rest or are cold; undefined otherwise.
+   * Milliseconds until one of the eligible servers accepts the request, if all of them are in
+   * backoff, cold or at their rate limit; undefined otherwise.
    */
-  opensInMs(selection: Selection): number | undefined {
+  availableInMs(selection: SelectionCriteria): number | undefined {
     const { serverDirectory, serverGate } = this.#deps;
-    const [first = []] = this.#candidates(selection);
-    const bound = this.#belongsTo(selection, first);
+    const [first = []] = this.#candidateSets(selection);
+    const isPinned = this.#isPinned(selection, first);
     return serverGate.opensInMs(
-      bound ? first : serverDirectory.usable(selection.service),
+      isPinned ? first : serverDirectory.usable(selection.service),
     );
   }
 
-  /** Servers that would take a request if another VM lent this one a place there. */
-  lacking(selection: Selection): readonly ServerRecord[] {
+  /** Servers that would accept the request if another VM granted this VM a permit. */
+  serversNeedingPermit(selection: SelectionCriteria): readonly ServerRecord[] {
     const { serverGate } = this.#deps;
-    const sets = this.#candidates(selection);
-    const [first = []] = sets;
-    const servers = this.#belongsTo(selection, first) ? first : sets.flat();
-    return this.#responsive(serverGate.lacking(servers), selection)
+    const candidateSets = this.#candidateSets(selection);
+    const [first = []] = candidateSets;
+    const servers = this.#isPinned(selection, first)
+      ? first
+      : candidateSets.flat();
+    return this.#responsiveServers(serverGate.lacking(servers), selection)
       .filter(({ instance }) => !selection.tried.has(instance));
   }
 
-  /** A retry that lies unread at a stopped server helps no caller, and counts as it is read. */
-  #responsive(
+  /**
+   * Leaves out unresponsive servers for retries. A retry that waits unread at a stopped server
+   * does not help the caller, and still counts as a retry when the server reads it.
+   */
+  #responsiveServers(
     servers: readonly ServerRecord[],
-    { isRetry }: Selection,
+    { isRetry }: SelectionCriteria,
   ): readonly ServerRecord[] {
     if (!isRetry) return servers;
     const { attemptAcks } = this.#deps;
     return servers.filter((server) => !attemptAcks.isUnresponsive(server));
   }
 
-  /** Whether the session of a request runs on the release of these servers. */
-  #belongsTo(
-    { head }: Selection,
+  /** Whether the session of a request is pinned to the release of these candidates. */
+  #isPinned(
+    { head }: SelectionCriteria,
     candidates: readonly ServerRecord[],
   ): boolean {
     const { sessionBook, clock } = this.#deps;
@@ -143,9 +152,9 @@
     return sessionBook.releaseOf(session, clock.monotonicMs()) === release;
   }
 
-  #among(
+  #chooseAmong(
     candidates: readonly ServerRecord[],
-    selection: Selection,
+    selection: SelectionCriteria,
   ): ServerRecord | undefined {
     const { affinityChoice, serverGate, vmSettings, clock } = this.#deps;
     const dataCentre: DataCentreId = vmSettings.dataCentre;
@@ -160,8 +169,10 @@
     });
   }
 
-  /** Sets of servers to choose from, the best set first; some of them may take nothing now. */
-  #candidates({ service, head }: Selection): (readonly ServerRecord[])[] {
+  /** Sets of candidates, the best set first; some servers may not accept work now. */
+  #candidateSets(
+    { service, head }: SelectionCriteria,
+  ): (readonly ServerRecord[])[] {
     const { serverDirectory, releaseGate, rollOutFollower } = this.#deps;
     const { evacuationFollower, serverGate } = this.#deps;
     if (!rollOutFollower.ready || !evacuationFollower.ready) return [];
@@ -172,7 +183,7 @@
       service,
       allowed: {
         stable: serverGate.bearing(service, stable),
-        trial: this.#ofTrial(service, trial),
+        trial: this.#trialCandidates(service, trial),
       },
       share: releaseGate.trialShare(service),
       session: sessionOf(head),
@@ -181,37 +192,43 @@
     });
   }
 
-  /** Of a trial few servers are used; others take the place of those that take nothing now. */
-  #ofTrial(
+  /**
+   * A trial uses only a few servers of its release. Those that do not accept work now are left
+   * out, so that others take their place.
+   */
+  #trialCandidates(
     service: ServiceId,
     trial: readonly ServerRecord[],
   ): readonly ServerRecord[] {
     const { serverGate } = this.#deps;
-    const bearing = serverGate.bearing(service, trial);
-    const open = serverGate.open(bearing);
-    return open.length > 0 ? open : bearing;
+    const eligible = serverGate.bearing(service, trial);
+    const open = serverGate.open(eligible);
+    return open.length > 0 ? open : eligible;
   }
 }
 
 /**
- * Returns what stands for the session of a request. The last part of a prompt may be the
- * request's own or the session's; all requests of a session share the part before it.
+ * Returns the prompt part that identifies the session of a request. The last part of a prompt may
+ * belong to the request alone or to its session; all requests of a session share the part before.
  */
 export function sessionOf(head: CallerHead): PromptPartId | undefined {
-  return longestSharedPart(head);
+  return longestSharedPrefix(head);
 }
 
-/** What requests have in common that gain from one server; undefined if nothing. */
+/**
+ * Cache key of the prompt prefix that a request shares with others, which are best served by the
+ * same server; undefined if it shares none.
+ */
 export function promptKeyOf(
   head: CallerHead,
   model: ModelId | undefined,
 ): PromptKey | undefined {
-  const shared = longestSharedPart(head);
+  const shared = longestSharedPrefix(head);
   return shared === undefined ? undefined : `${model ?? ""}/${shared}`;
 }
 
-/** The last part that other requests may have in common with this one. */
-function longestSharedPart(
+/** The last prompt part that other requests may share with this one. */
+function longestSharedPrefix(
   { promptParts }: CallerHead,
 ): PromptPartId | undefined {
   const part = promptParts.length >= 2 ? promptParts.at(-2) : promptParts[0];
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -20,33 +20,33 @@
 import type { ColdServerGuard } from "./cold_server_guard.ts";
 import { ServerGate } from "./server_gate.ts";
 import {
-  type Selection,
+  type SelectionCriteria,
   ServerSelector,
   sessionOf,
 } from "./server_selector.ts";
 
-function sessionFor(parts: string): string | undefined {
+function sessionOfParts(parts: string): string | undefined {
   return sessionOf(decodeCallerHead({ "fieldrack-prefix-hash": parts }));
 }
 
-describe("session of a request", () => {
-  it("should be the last part that other requests share, not the request's own", () => {
-    const first = sessionFor("aa:2520,bb:3780,01:2890");
-    const second = sessionFor("aa:2520,bb:3780,02:1200");
+describe("sessionOf", () => {
+  it("should return the last prompt part shared with other requests", () => {
+    const first = sessionOfParts("aa:2520,bb:3780,01:2890");
+    const second = sessionOfParts("aa:2520,bb:3780,02:1200");
     assert.equal(first, "bb");
     assert.equal(second, first);
   });
 
-  it("should be the only part where there is one, and none without parts", () => {
-    assert.equal(sessionFor("aa:2520"), "aa");
-    assert.equal(sessionFor(""), undefined);
+  it("should return the only prompt part, or undefined without parts", () => {
+    assert.equal(sessionOfParts("aa:2520"), "aa");
+    assert.equal(sessionOfParts(""), undefined);
   });
 });
 
 const STABLE = serverRecord("i-stable");
 const TRIAL = serverRecord("i-trial", { release: "v2" as ReleaseId });
 const SESSION = "aa" as PromptPartId;
-const SELECTION: Selection = {
+const SELECTION: SelectionCriteria = {
   service: STABLE.service,
   head: decodeCallerHead({ "fieldrack-prefix-hash": "aa:900,01:10" }),
   model: undefined,
@@ -54,11 +54,11 @@
   isRetry: false,
   sharedMs: 0,
 };
-const REST_MS = 3_000;
-const SETTLED_MS = 5_000;
+const BACKOFF_MS = 3_000;
+const SETTLE_MS = 5_000;
 const SELF = testMember("edge-1", { data_centre: STABLE.dataCentre });
 
-describe("choice of a server while some rest", () => {
+describe("ServerSelector while servers are in backoff", () => {
   let nowMs: number;
   let serverDirectory: ServerDirectory;
   let serverRests: ServerRests;
@@ -86,17 +86,17 @@
       unitHash,
       clock: { monotonicMs: () => nowMs },
     });
-    // By then it knows the other VMs, if there are any.
-    nowMs += SETTLED_MS;
+    // Passes the start-up period after which the VM is assumed to know all other VMs.
+    nowMs += SETTLE_MS;
     serverGate = new ServerGate({
       serverDirectory,
       serverRests,
       serverLimits,
       limitAdmission,
       coldServerGuard: {
-        bearing: (_service: unknown, servers: unknown) => servers,
+        withWarmupCapacity: (_service: unknown, servers: unknown) => servers,
         warmInMs: () => 0,
-        sending: () => {},
+        recordSend: () => {},
       } as unknown as ColdServerGuard,
       clock,
       logger: new SilentLogger(),
@@ -124,7 +124,7 @@
     for (const server of [STABLE, TRIAL]) serverDirectory.put(server);
   });
 
-  /** All new sessions are on trial. */
+  /** Assigns all new sessions to the trial. */
   function trialGate(): ReleaseGate {
     const gate = new ReleaseGate();
     const { service } = STABLE;
@@ -135,90 +135,90 @@
     return gate;
   }
 
-  function chosen(
+  function chooseInstance(
     tried: ReadonlySet<InstanceId> = new Set(),
   ): InstanceId | undefined {
     return selector.choose({ ...SELECTION, tried })?.instance;
   }
 
-  function runBy(release: ReleaseId): void {
+  function recordSession(release: ReleaseId): void {
     const times = { seenMs: nowMs, learntMs: nowMs };
     sessionBook.note({ session: SESSION, release, ...times, here: true });
   }
 
-  function rest(server: typeof STABLE): void {
-    serverRests.ask(server, { restMs: REST_MS, nowMs });
+  function backOff(server: typeof STABLE): void {
+    serverRests.ask(server, { restMs: BACKOFF_MS, nowMs });
   }
 
-  it("should have no way to a server that rests, also where the others have failed", () => {
+  it("should not choose a server in backoff even if the others have failed", () => {
     for (let n = 0; n < 3; n++) serverLoads.failed(STABLE.instance, nowMs);
-    rest(TRIAL);
-    assert.equal(chosen(), STABLE.instance);
-    rest(STABLE);
-    assert.equal(chosen(), undefined);
-    assert.equal(selector.opensInMs(SELECTION), REST_MS);
-    nowMs += REST_MS;
-    assert.equal(chosen(), TRIAL.instance);
+    backOff(TRIAL);
+    assert.equal(chooseInstance(), STABLE.instance);
+    backOff(STABLE);
+    assert.equal(chooseInstance(), undefined);
+    assert.equal(selector.availableInMs(SELECTION), BACKOFF_MS);
+    nowMs += BACKOFF_MS;
+    assert.equal(chooseInstance(), TRIAL.instance);
   });
 
-  it("should keep a session with its release while all servers of that rest", () => {
-    runBy(TRIAL.release);
-    rest(TRIAL);
-    assert.equal(chosen(), undefined);
-    assert.equal(selector.opensInMs(SELECTION), REST_MS);
-    nowMs += REST_MS;
-    assert.equal(chosen(), TRIAL.instance);
+  it("should keep a session on its release while all servers of that release are in backoff", () => {
+    recordSession(TRIAL.release);
+    backOff(TRIAL);
+    assert.equal(chooseInstance(), undefined);
+    assert.equal(selector.availableInMs(SELECTION), BACKOFF_MS);
+    nowMs += BACKOFF_MS;
+    assert.equal(chooseInstance(), TRIAL.instance);
   });
 
-  it("should give a session that has run nowhere to another release", () => {
-    rest(TRIAL);
-    assert.equal(chosen(), STABLE.instance);
-    assert.equal(selector.opensInMs(SELECTION), undefined);
+  it("should use another release for a session that has not run yet", () => {
+    backOff(TRIAL);
+    assert.equal(chooseInstance(), STABLE.instance);
+    assert.equal(selector.availableInMs(SELECTION), undefined);
   });
 
-  it("should leave a release on trial whose servers have failed the request", () => {
-    runBy(TRIAL.release);
+  it("should leave the trial release if its servers have failed the request", () => {
+    recordSession(TRIAL.release);
     const tried = new Set<InstanceId>([TRIAL.instance]);
-    assert.equal(chosen(tried), STABLE.instance);
+    assert.equal(chooseInstance(tried), STABLE.instance);
   });
 
-  it("should give a trial's requests to others of its servers", () => {
+  it("should use another server of the trial release if one is in backoff", () => {
     const second = serverRecord("i-second", { release: TRIAL.release });
     serverDirectory.put(second);
-    runBy(TRIAL.release);
-    rest(TRIAL);
-    assert.equal(chosen(), second.instance);
+    recordSession(TRIAL.release);
+    backOff(TRIAL);
+    assert.equal(chooseInstance(), second.instance);
   });
 
-  it("should pass by a server that has no room, and send what has a place once", () => {
+  it("should skip a server at its rate limit and use each permit once", () => {
     const limit = { life: STABLE, limitPerS: 1, atMs: nowMs };
     serverLimits.hear(limit);
-    rest(TRIAL);
-    // The first request of a part comes after its interval.
-    assert.equal(chosen(), undefined);
+    backOff(TRIAL);
+    // The first permit of a VM's share of the limit becomes available after one interval.
+    assert.equal(chooseInstance(), undefined);
     assert.equal(serverGate.askableMs(STABLE), Infinity);
     nowMs += 1_000;
-    assert.equal(chosen(), STABLE.instance);
-    const place = serverGate.sending(STABLE);
-    assert.equal(chosen(), undefined);
-    place.release();
-    assert.equal(chosen(), STABLE.instance);
+    assert.equal(chooseInstance(), STABLE.instance);
+    const permit = serverGate.sending(STABLE);
+    assert.equal(chooseInstance(), undefined);
+    permit.release();
+    assert.equal(chooseInstance(), STABLE.instance);
     assert.equal(serverGate.maySend(STABLE, serverGate.sending(STABLE)), true);
-    assert.equal(chosen(), undefined);
+    assert.equal(chooseInstance(), undefined);
     const endedMs = nowMs + 1;
     serverLimits.namesNone(STABLE, endedMs);
-    assert.equal(chosen(), STABLE.instance);
+    assert.equal(chooseInstance(), STABLE.instance);
     assert.equal(serverGate.askableMs(STABLE), endedMs);
   });
 
-  it("should send nothing that was chosen before the word", () => {
-    const place = limitAdmission.reserve(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), true);
-    rest(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), false);
-    nowMs += REST_MS;
-    assert.equal(serverGate.maySend(STABLE, place), true);
+  it("should not send a request chosen before a backoff or shutdown notice", () => {
+    const permit = limitAdmission.reserve(STABLE);
+    assert.equal(serverGate.maySend(STABLE, permit), true);
+    backOff(STABLE);
+    assert.equal(serverGate.maySend(STABLE, permit), false);
+    nowMs += BACKOFF_MS;
+    assert.equal(serverGate.maySend(STABLE, permit), true);
     serverDirectory.leaves(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), false);
+    assert.equal(serverGate.maySend(STABLE, permit), false);
   });
 });
--- a/src/gateway/stop_state.ts
+++ b/src/gateway/stop_state.ts
@@ -1,4 +1,4 @@
-/** Whether this VM is stopping, and which requests it still takes. */
+/** Whether this VM is shutting down, and which requests it still accepts. */
 
 import type { Refusal } from "../core/refusal.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
@@ -6,14 +6,14 @@
 import type { Clock } from "../runtime/clock.ts";
 
 /**
- * Part of the grace after which streams are refused: what begins later may outlast the
- * process. Callers have heard by then that this VM is not to be used.
+ * Share of the grace period after which new streams are refused, as they may outlast the process.
+ * By then callers have been notified not to use this VM.
  */
-const LAST_STREAM_SHARE = 0.33;
-/** Part of the grace after which nothing new is taken. */
-const LAST_SHARE = 0.85;
+const STREAM_CUTOFF = 0.33;
+/** Share of the grace period after which all new requests are refused. */
+const REQUEST_CUTOFF = 0.85;
 
-/** Set once, when the stop is asked for. */
+/** Records when the shutdown began; it cannot be undone. */
 export class StopState {
   readonly #bounds: DeploymentBounds;
   readonly #clock: Clock;
@@ -24,31 +24,31 @@
     this.#clock = clock;
   }
 
-  /** Whether the stop has begun. */
+  /** Whether the shutdown has begun. */
   get stopping(): boolean {
     return this.#sinceMs !== undefined;
   }
 
-  /** Milliseconds until the process is killed, once the stop has begun. */
-  leftMs(): number {
-    return this.#bounds.stopGraceMs - this.#goneMs();
+  /** Milliseconds until the platform kills the process, once the shutdown has begun. */
+  graceLeftMs(): number {
+    return this.#bounds.stopGraceMs - this.#elapsedMs();
   }
 
-  /** Begins the stop. */
+  /** Begins the shutdown; further calls have no effect. */
   begin(): void {
     this.#sinceMs ??= this.#clock.monotonicMs();
   }
 
-  /** Says whether a new request is refused because it could not be finished. */
+  /** Returns a refusal if a new request might not finish before the process is killed. */
   refusal(head: CallerHead): Refusal | undefined {
     if (this.#sinceMs === undefined) return undefined;
-    const share = this.#goneMs() / this.#bounds.stopGraceMs;
+    const share = this.#elapsedMs() / this.#bounds.stopGraceMs;
     const isStream = head.outputTokens > 0;
-    if (share < (isStream ? LAST_STREAM_SHARE : LAST_SHARE)) return undefined;
+    if (share < (isStream ? STREAM_CUTOFF : REQUEST_CUTOFF)) return undefined;
     return { tag: "stopping" };
   }
 
-  #goneMs(): number {
+  #elapsedMs(): number {
     return this.#clock.monotonicMs() -
       (this.#sinceMs ?? this.#clock.monotonicMs());
   }
--- a/src/gateway/trial_controller.ts
+++ b/src/gateway/trial_controller.ts
@@ -1,4 +1,4 @@
-/** Runs roll-outs: one VM steps and reports them, every VM brakes. */
+/** Runs roll-outs: one VM advances and reports them, every VM can halt a bad release. */
 
 import type {
   RollOutOrder,
@@ -27,14 +27,17 @@
 import type { ColdServerGuard } from "./cold_server_guard.ts";
 import type { StopState } from "./stop_state.ts";
 
-/** Time between looks at the evidence; a bad release answers every few of these. */
-const TICK_MS = 200;
-/** Time before a VM repeats a write that failed: each tick made 30 of a VM in an outage of 8 s. */
-const RETRY_MS = 800;
-/** Time between lines that tell what a trial waits for: a few for each of its steps. */
-const STAY_LOG_MS = 2_000;
-/** A VM acts in place of another that did not for this long. */
-const TAKEOVER_MS = 600;
+/** Interval between evaluations; a bad release gives one answer every few intervals. */
+const EVALUATION_INTERVAL_MS = 200;
+/**
+ * Delay before a failed write is repeated. Repeating it at each evaluation caused 30 writes per VM
+ * in an outage of 8 s.
+ */
+const WRITE_RETRY_DELAY_MS = 800;
+/** Interval between log lines on what a trial waits for: a few lines for each step. */
+const HOLD_LOG_INTERVAL_MS = 2_000;
+/** A VM acts in place of the one before it if that has not acted for this long. */
+const TAKEOVER_DELAY_MS = 600;
 
 interface Deps {
   readonly releaseGate: ReleaseGate;
@@ -53,70 +56,70 @@
   readonly logger: Logger;
 }
 
-/** What this VM has seen of one order. */
-interface Watch {
+/** Local state of one roll-out order. */
+interface OrderProgress {
   readonly release: string;
-  readonly seenMs: number;
-  /** What should be done, and since when it should. */
-  wanted: string;
-  wantedSinceMs: number;
-  /** Nothing is written before this. */
-  notBeforeMs: number;
+  readonly firstSeenMs: number;
+  /** The step that is due, serialised, and since when it has been due. */
+  pendingStep: string;
+  pendingSinceMs: number;
+  /** Earliest time of the next write. */
+  nextWriteMs: number;
   /** When it was last logged what the trial waits for. */
-  loggedMs: number;
+  lastHoldLogMs: number;
 }
 
-/** Looks at all open orders again and again. */
+/** Evaluates all open roll-out orders periodically. */
 export class TrialController {
   readonly #deps: Deps;
-  readonly #watches = new Map<string, Watch>();
+  readonly #progressByService = new Map<string, OrderProgress>();
   readonly #task = new RepeatedTask({
-    intervalMs: TICK_MS,
-    run: () => this.#tick(),
+    intervalMs: EVALUATION_INTERVAL_MS,
+    run: () => this.#evaluate(),
   });
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Starts to look. */
+  /** Starts the periodic evaluation. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to look. */
+  /** Stops the periodic evaluation. */
   stop(): void {
     this.#task.stop();
   }
 
-  async #tick(): Promise<void> {
+  async #evaluate(): Promise<void> {
     for (const order of this.#deps.releaseGate.openOrders()) {
-      const watch = this.#watch(order);
+      const progress = this.#progressOf(order);
       const judgement = this.#judge(order);
       for (const verdict of [judgement.verdict, judgement.stepVerdict]) {
-        if (verdict.tag === "bad") this.#brake(order, verdict);
+        if (verdict.tag === "bad") this.#haltTrial(order, verdict);
       }
-      const step = this.#plan(order, { watch, judgement });
-      if (step.tag === "stay") this.#logStay(order, { watch, judgement });
-      await this.#act(order, { watch, step });
+      const step = this.#nextStep(order, { progress, judgement });
+      if (step.tag === "stay") this.#logHold(order, { progress, judgement });
+      await this.#applyStep(order, { progress, step });
     }
   }
 
-  #watch({ service, release }: RollOutOrder): Watch {
-    const known = this.#watches.get(service);
+  #progressOf({ service, release }: RollOutOrder): OrderProgress {
+    const known = this.#progressByService.get(service);
     if (known?.release === release) return known;
     const nowMs = this.#deps.clock.monotonicMs();
-    const watch: Watch = {
+    const progress: OrderProgress = {
       release,
-      seenMs: nowMs,
-      wanted: "",
-      wantedSinceMs: nowMs,
-      notBeforeMs: nowMs,
-      loggedMs: nowMs,
+      firstSeenMs: nowMs,
+      pendingStep: "",
+      pendingSinceMs: nowMs,
+      nextWriteMs: nowMs,
+      lastHoldLogMs: nowMs,
     };
-    this.#watches.set(service, watch);
+    this.#progressByService.set(service, progress);
     this.#deps.evidenceBook.forget(service);
-    return watch;
+    return progress;
   }
 
   #judge({ service, release }: RollOutOrder): Judgement {
@@ -132,13 +135,13 @@
     });
   }
 
-  #brake(
+  #haltTrial(
     order: RollOutOrder,
     { kind, reason, answers, failures }: Extract<Verdict, { tag: "bad" }>,
   ): void {
     const { service, release } = order;
     if (!this.#deps.releaseGate.brake({ service, release })) return;
-    this.#deps.logger.warn("Release is braked", {
+    this.#deps.logger.warn("Release halted", {
       service,
       release,
       told_by: "own evidence",
@@ -149,9 +152,9 @@
     });
   }
 
-  #plan(
+  #nextStep(
     order: RollOutOrder,
-    { watch, judgement }: { watch: Watch; judgement: Judgement },
+    { progress, judgement }: { progress: OrderProgress; judgement: Judgement },
   ): PlanStep | { readonly tag: "begin" } {
     const { releaseGate, serverDirectory, coldServerGuard, clock, bounds } =
       this.#deps;
@@ -161,9 +164,9 @@
     if (order.stateRelease !== release) return { tag: "begin" };
     const share = releaseGate.trialShare(service);
     const servers = serverDirectory.usable(service);
-    // A VM that has just started knows the time of the order by the step it finds.
+    // A VM that has just started infers the elapsed time from the current share.
     const elapsedMs = Math.max(
-      clock.monotonicMs() - watch.seenMs,
+      clock.monotonicMs() - progress.firstSeenMs,
       timeOfShare(share) * limitMs,
     );
     return planStep({
@@ -178,27 +181,30 @@
         share: bounds.trialShare,
         allowance: bounds.trialAllowance,
       },
-      // Cold ones bear little, and their answers would speak of that.
+      // Cold servers accept little work, and their answers would reflect the warm-up.
       hasServers: servers.some((server) =>
         server.release === release && !coldServerGuard.isCold(server)
       ),
-      oldWorkMs: this.#workOffRelease(order),
+      oldWorkMs: this.#workOnOtherReleases(order),
     });
   }
 
-  /** By the VM that would act only. */
-  #logStay(
+  /** Logs only on the VM that is first in turn. */
+  #logHold(
     { service, release, limitMs }: RollOutOrder,
-    { watch, judgement }: { watch: Watch; judgement: Judgement },
+    { progress, judgement }: { progress: OrderProgress; judgement: Judgement },
   ): void {
     const nowMs = this.#deps.clock.monotonicMs();
-    if (nowMs - watch.loggedMs < STAY_LOG_MS || this.#turn() !== 0) return;
-    watch.loggedMs = nowMs;
-    this.#deps.logger.info("Trial stays", {
+    if (
+      nowMs - progress.lastHoldLogMs < HOLD_LOG_INTERVAL_MS ||
+      this.#turnIndex() !== 0
+    ) return;
+    progress.lastHoldLogMs = nowMs;
+    this.#deps.logger.info("Trial is waiting", {
       service,
       release,
       share: this.#deps.releaseGate.trialShare(service),
-      elapsed_ms: Math.round(nowMs - watch.seenMs),
+      elapsed_ms: Math.round(nowMs - progress.firstSeenMs),
       limit_ms: limitMs,
       verdict: judgement.verdict.tag,
       step_verdict: judgement.stepVerdict.tag,
@@ -208,48 +214,52 @@
     });
   }
 
-  #workOffRelease({ service, release }: RollOutOrder): number {
+  #workOnOtherReleases({ service, release }: RollOutOrder): number {
     const { serverDirectory, serverLoads } = this.#deps;
     return serverDirectory.usable(service)
       .filter((server) => server.release !== release)
       .reduce((sum, { instance }) => sum + serverLoads.work(instance), 0);
   }
 
-  async #act(
+  async #applyStep(
     order: RollOutOrder,
-    { watch, step }: {
-      watch: Watch;
+    { progress, step }: {
+      progress: OrderProgress;
       step: PlanStep | { readonly tag: "begin" };
     },
   ): Promise<void> {
     if (step.tag === "stay") return;
-    if (!this.#isMyTurn(watch, JSON.stringify(step))) return;
-    if (await this.#write(order, step)) return;
-    watch.notBeforeMs = this.#deps.clock.monotonicMs() + RETRY_MS;
+    if (!this.#isMyTurn(progress, JSON.stringify(step))) return;
+    if (await this.#writeStep(order, step)) return;
+    progress.nextWriteMs = this.#deps.clock.monotonicMs() +
+      WRITE_RETRY_DELAY_MS;
   }
 
-  #write(
+  #writeStep(
     order: RollOutOrder,
     step: Exclude<PlanStep | { readonly tag: "begin" }, { tag: "stay" }>,
   ): Promise<boolean> {
     const { service, release } = order;
     switch (step.tag) {
       case "begin":
-        return this.#report(order, "in_progress");
+        return this.#reportState(order, "in_progress");
       case "share": {
         const { share } = step;
         return this.#deps.trialFollower.write({ service, release, share });
       }
       case "complete":
-        return this.#report(order, "completed");
+        return this.#reportState(order, "completed");
       case "roll_back":
-        return this.#report(order, "rolled_back");
+        return this.#reportState(order, "rolled_back");
     }
   }
 
-  async #report(order: RollOutOrder, state: RollOutState): Promise<boolean> {
+  async #reportState(
+    order: RollOutOrder,
+    state: RollOutState,
+  ): Promise<boolean> {
     const done = await this.#deps.rollOutFollower.report(order, state);
-    this.#deps.logger.info("Roll-out is reported", {
+    this.#deps.logger.info("Roll-out state reported", {
       service: order.service,
       release: order.release,
       state,
@@ -258,19 +268,19 @@
     return done;
   }
 
-  /** VMs act in the order of their names, each when those before it have not. */
-  #isMyTurn(watch: Watch, wanted: string): boolean {
+  /** VMs act in a fixed order, each only if those before it have not acted in time. */
+  #isMyTurn(progress: OrderProgress, dueStep: string): boolean {
     const nowMs = this.#deps.clock.monotonicMs();
-    if (watch.wanted !== wanted) {
-      watch.wanted = wanted;
-      watch.wantedSinceMs = nowMs;
+    if (progress.pendingStep !== dueStep) {
+      progress.pendingStep = dueStep;
+      progress.pendingSinceMs = nowMs;
     }
-    return nowMs >= watch.notBeforeMs &&
-      nowMs - watch.wantedSinceMs >= this.#turn() * TAKEOVER_MS;
+    return nowMs >= progress.nextWriteMs &&
+      nowMs - progress.pendingSinceMs >= this.#turnIndex() * TAKEOVER_DELAY_MS;
   }
 
   /** Number of VMs that act before this one. */
-  #turn(): number {
+  #turnIndex(): number {
     const { memberTable, relayRole, stopState } = this.#deps;
     const alive = memberTable.callable().filter(({ state }) =>
       state === "alive"
--- a/src/gateway/try_sender.ts
+++ b/src/gateway/try_sender.ts
@@ -23,8 +23,8 @@
 import type { Admitted } from "./request_admission.ts";
 import type { RetryPermit } from "./retry_permit.ts";
 import type { ServerGate } from "./server_gate.ts";
-import type { ServerNotices } from "./server_notices.ts";
-import type { Selection, ServerSelector } from "./server_selector.ts";
+import type { ServerNoticeHandler } from "./server_notice_handler.ts";
+import type { SelectionCriteria, ServerSelector } from "./server_selector.ts";
 import type { SuspectPlaces } from "./suspect_places.ts";
 import type { StreamRelay } from "./stream_relay.ts";
 import type { ObservedTry, TryObserver } from "./try_observer.ts";
@@ -50,7 +50,7 @@
   readonly tryObserver: TryObserver;
   readonly trySilence: TrySilence;
   readonly attemptAcks: AttemptAcks;
-  readonly serverNotices: ServerNotices;
+  readonly serverNoticeHandler: ServerNoticeHandler;
   readonly serverLoads: ServerLoads;
   readonly workPredictor: WorkPredictor;
   readonly clock: Clock;
@@ -178,7 +178,7 @@
     if (server === undefined) return Infinity;
     const { serverLoads, serverSelector } = this.#deps;
     const { head } = this.#request.exchange;
-    const held = serverSelector.holds(server, { head, model });
+    const held = serverSelector.hasCachedPrompt(server, { head, model });
     return serverLoads.work(server.instance) + work.readMs +
       (held ? 0 : work.sharedMs);
   }
@@ -189,13 +189,13 @@
     const { model } = this.#request.models;
     const tried = mayComeBack ? NONE : this.#tried;
     const selection = this.#selection(admitted, { tried, model });
-    return placeBorrower.borrow(serverSelector.lacking(selection));
+    return placeBorrower.borrow(serverSelector.serversNeedingPermit(selection));
   }
 
   /** Milliseconds until a server takes the request, where all rest or are cold. */
   opensInMs(admitted: Admitted): number | undefined {
     const { model } = this.#request.models;
-    return this.#deps.serverSelector.opensInMs(
+    return this.#deps.serverSelector.availableInMs(
       this.#selection(admitted, { tried: NONE, model }),
     );
   }
@@ -211,7 +211,7 @@
       backendConnections,
       tryObserver,
       serverGate,
-      serverNotices,
+      serverNoticeHandler,
       suspectPlaces,
       attemptAcks,
     } = this.#deps;
@@ -241,7 +241,7 @@
           observed.record.confidence = head.decoded.confidence;
           serverGate.took(server, observed.record.startedMs);
           if (head.status < FIRST_FAILURE_STATUS) {
-            serverNotices.answered(
+            serverNoticeHandler.handleAnswer(
               server,
               head.notice,
               observed.record.startedMs,
@@ -252,7 +252,7 @@
         write: (chunk) => stream.write(chunk, () => this.#readOn(observed)),
         onNotice: (notice) => {
           observed.record.limitPerS = notice.limitPerS;
-          serverNotices.heard(server, notice);
+          serverNoticeHandler.handleNotice(server, notice);
         },
         onProgress: () => {
           tryObserver.byteCame(observed);
@@ -332,8 +332,8 @@
 
   #selection(
     admitted: Admitted,
-    { tried, model }: Pick<Selection, "tried" | "model">,
-  ): Selection {
+    { tried, model }: Pick<SelectionCriteria, "tried" | "model">,
+  ): SelectionCriteria {
     const { exchange, service } = this.#request;
     const { sharedMs } = this.#predictWork(admitted, model);
     const { head } = exchange;
--- a/src/gateway/try_silence.ts
+++ b/src/gateway/try_silence.ts
@@ -15,14 +15,14 @@
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { ServerGate } from "./server_gate.ts";
-import type { ServerNotices } from "./server_notices.ts";
+import type { ServerNoticeHandler } from "./server_notice_handler.ts";
 import type { TryRecord } from "./try_record.ts";
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
   readonly silenceWatch: SilenceWatch;
   readonly serverProbe: ServerProbe;
-  readonly serverNotices: ServerNotices;
+  readonly serverNoticeHandler: ServerNoticeHandler;
   readonly attemptAcks: Pick<AttemptAcks, "probed">;
   readonly serverGate: ServerGate;
 }
@@ -73,8 +73,8 @@
     server: ServerRecord,
     { notice, sentMs }: { notice: ServerNotice; sentMs: number },
   ): void {
-    const { serverNotices, attemptAcks } = this.#deps;
-    serverNotices.heard(server, notice);
+    const { serverNoticeHandler, attemptAcks } = this.#deps;
+    serverNoticeHandler.handleNotice(server, notice);
     attemptAcks.probed(server, sentMs);
   }
 
--- a/src/gateway/try_silence_test.ts
+++ b/src/gateway/try_silence_test.ts
@@ -12,7 +12,7 @@
 import { SilenceWatch } from "../core/servers/silence.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerGate } from "./server_gate.ts";
-import type { ServerNotices } from "./server_notices.ts";
+import type { ServerNoticeHandler } from "./server_notice_handler.ts";
 import { newTryRecord } from "./try_record.ts";
 import { TrySilence } from "./try_silence.ts";
 
@@ -45,7 +45,7 @@
     serverDirectory,
     silenceWatch: new SilenceWatch(),
     serverProbe: { ask: () => void (asked += 1) } as unknown as ServerProbe,
-    serverNotices: {} as ServerNotices,
+    serverNoticeHandler: {} as ServerNoticeHandler,
     attemptAcks: { probed: () => {} },
     serverGate: { askableMs: () => askableMs } as unknown as ServerGate,
   });
--- a/src/metrics/entry_metrics.ts
+++ b/src/metrics/entry_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and histograms of an entry, in the Prometheus form. */
+/** Prometheus metrics of an entry. */
 
 import {
   collectDefaultMetrics,
@@ -38,7 +38,7 @@
 
   readonly answers = new Counter({
     name: "fieldrack_answers_total",
-    help: "Answers passed on, by model and version",
+    help: "Answers forwarded to callers, by model and version",
     labelNames: ["model", "version"] as const,
     registers: [this.registry],
   });
@@ -52,21 +52,21 @@
 
   readonly escalations = new Counter({
     name: "fieldrack_escalations_total",
-    help: "Cascade steps left for the next one, by model and reason",
+    help: "Cascade escalations to the next step, by model and reason",
     labelNames: ["model", "reason"] as const,
     registers: [this.registry],
   });
 
-  readonly tries = new Counter({
+  readonly attempts = new Counter({
     name: "fieldrack_backend_tries_total",
-    help: "Tries at backend servers, by outcome",
+    help: "Attempts at backend servers, by outcome",
     labelNames: ["outcome"] as const,
     registers: [this.registry],
   });
 
   readonly duration = new Histogram({
     name: "fieldrack_request_seconds",
-    help: "Time to the whole answer, in seconds",
+    help: "Time to the complete answer in seconds",
     labelNames: ["kind"] as const,
     buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
@@ -74,33 +74,34 @@
 
   readonly firstToken = new Histogram({
     name: "fieldrack_first_token_seconds",
-    help: "Time to the first event of a stream, in seconds",
+    help: "Time to the first event of a stream in seconds",
     buckets: LATENCY_BUCKETS_S,
     registers: [this.registry],
   });
 
   readonly revision = new Gauge({
     name: "fieldrack_configuration_revision",
-    help: "Revision in force",
+    help: "Revision of the active configuration",
     registers: [this.registry],
   });
 
   readonly members = new Gauge({
     name: "fieldrack_entries",
-    help: "Other entry VMs that are not dead, as seen here",
+    help: "Other entry VMs that are not considered dead by this VM",
     registers: [this.registry],
   });
 
   readonly platformCalls = new Counter({
     name: "fieldrack_platform_calls_total",
-    help: "Calls of the platform, by kind and outcome",
+    help: "Platform calls, by kind and outcome",
     labelNames: ["kind", "outcome"] as const,
     registers: [this.registry],
   });
 
   readonly controlBytes = new Gauge({
     name: "fieldrack_control_bytes",
-    help: "Bytes to and from other entry VMs and the platform since the start",
+    help:
+      "Bytes exchanged with other entry VMs and the platform since the process started",
     labelNames: ["link", "direction"] as const,
     registers: [this.registry],
   });
