--- a/src/gateway/attempt_acks.ts
+++ b/src/gateway/attempt_acks.ts
@@ -1,4 +1,7 @@
-/** Follows which attempts backend servers have read, and logs those that lay unread for long. */
+/**
+ * Tracks which attempts backend servers have acknowledged, that is, are known to have read, and
+ * logs those acknowledged late.
+ */
 
 import type { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
@@ -6,10 +9,10 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 
-/** Age from which an attempt is logged that is acknowledged after all, in milliseconds. */
-const LATE_MS = 2_000;
+/** An acknowledgement that takes at least this long is logged. */
+const LATE_ACK_MS = 2_000;
 
 interface Deps {
   readonly unackedAttempts: UnackedAttempts;
@@ -23,7 +26,7 @@
   readonly ageMs: number;
 }
 
-/** Unacknowledged attempts of one VM. */
+/** Updates the unacknowledged attempts of this VM as their connections make progress. */
 export class AttemptAcks {
   readonly #deps: Deps;
   readonly #unacked: UnackedAttempts;
@@ -32,13 +35,16 @@
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#unacked = deps.unackedAttempts;
-    this.#late = lateLogOf(deps.logger);
+    this.#late = createLateLog(deps.logger);
   }
 
-  /** Notes that the first byte of an attempt leaves; `onAcked` is called once it can't arrive later. */
-  sent(
+  /**
+   * Records that the first byte of an attempt is being written. `onAcked` is called once the
+   * attempt cannot arrive at its server any later.
+   */
+  attemptSent(
     server: ServerRecord,
-    { record, onAcked }: { record: TryRecord; onAcked: () => void },
+    { record, onAcked }: { record: AttemptRecord; onAcked: () => void },
   ): void {
     const { gatewayMetrics, clock } = this.#deps;
     const sentMs = clock.monotonicMs();
@@ -50,36 +56,42 @@
         record.ackedMs = clock.monotonicMs();
         gatewayMetrics.unackedAttempts.dec({ service: server.service });
         const ageMs = record.ackedMs - sentMs;
-        if (ageMs >= LATE_MS) this.#late.note([{ server, ageMs }]);
+        if (ageMs >= LATE_ACK_MS) this.#late.note([{ server, ageMs }]);
         onAcked();
       },
     });
   }
 
-  /** Notes a byte of the answer to an attempt. */
-  answered(server: ServerRecord, { sentMs, ackedMs }: TryRecord): void {
+  /** Records that a byte of the response to an attempt was received. */
+  responseReceived(
+    server: ServerRecord,
+    { sentMs, ackedMs }: AttemptRecord,
+  ): void {
     if (sentMs !== undefined && ackedMs === undefined) {
       this.#unacked.answered(server, sentMs);
     }
     this.#unacked.heard(server, this.#deps.clock.monotonicMs());
   }
 
-  /** Notes an answer to a probe that was sent at `sentMs`. */
-  probed(server: ServerRecord, sentMs: number): void {
+  /** Records a response to a probe that was sent at `sentMs`. */
+  probeAnswered(server: ServerRecord, sentMs: number): void {
     this.#unacked.answered(server, sentMs);
   }
 
-  /** Notes that the connection of an attempt was closed from the other side. */
-  closed(server: ServerRecord, { sentMs }: TryRecord): void {
+  /** Records that the server closed the connection of an attempt. */
+  connectionClosed(server: ServerRecord, { sentMs }: AttemptRecord): void {
     if (sentMs !== undefined) this.#unacked.closed(server, sentMs);
   }
 
-  /** Notes that no process listens at a server's address. */
-  ended(server: ServerRecord): void {
+  /** Records that no process listens at the address of a server. */
+  connectionRefused(server: ServerRecord): void {
     this.#unacked.ended(server);
   }
 
-  /** Whether a server may have stopped: it reads what it is sent at some later time. */
+  /**
+   * Whether a server may be suspended, in which case it would read what it is sent at some later
+   * time.
+   */
   isUnresponsive(server: ServerRecord): boolean {
     return this.#unacked.isUnresponsive(
       server,
@@ -88,16 +100,16 @@
   }
 }
 
-function lateLogOf(logger: Logger): BurstLog<LateAttempt> {
+function createLateLog(logger: Logger): BurstLog<LateAttempt> {
   return new BurstLog({
     one: ({ server, ageMs }) =>
-      logger.warn("Attempt was acknowledged late", {
+      logger.warn("Backend server acknowledged an attempt late", {
         server: lifeOf(server),
         service: server.service,
         age_ms: Math.round(ageMs),
       }),
     many: (attempts) =>
-      logger.warn("Attempts were acknowledged late", {
+      logger.warn("Backend servers acknowledged attempts late", {
         servers: new Set(attempts.map(({ server }) => server.instance)).size,
         count: attempts.length,
         oldest_ms: Math.round(Math.max(...attempts.map(({ ageMs }) => ageMs))),
--- a/src/gateway/try_observer.ts
+++ b/src/gateway/attempt_observer.ts
@@ -1,4 +1,4 @@
-/** Passes on what each try shows of servers, models and releases. */
+/** Updates statistics of servers, models, releases and sessions from the progress of attempts. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { ModelPace } from "../core/cascade/model_pace.ts";
@@ -14,7 +14,7 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import { promptKeyOf, sessionOf } from "./server_selector.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 import { ownTokens, type PredictedWork } from "./work_predictor.ts";
 
 interface Deps {
@@ -29,34 +29,34 @@
   readonly logger: Logger;
 }
 
-/** What a try is about. */
-export interface ObservedTry {
+/** An attempt with the context that statistics are kept by. */
+export interface ObservedAttempt {
   readonly server: ServerRecord;
   readonly service: ServiceId;
   readonly route: RouteId;
   readonly head: CallerHead;
-  readonly record: TryRecord;
+  readonly record: AttemptRecord;
   readonly work: PredictedWork;
-  /** How its session was noted as the try began; undefined where it belongs to none. */
-  noted?: NotedSession;
+  /** How the session was noted when the attempt started; undefined for requests without session. */
+  sessionNote?: SessionNote;
 }
 
-/** A session as it was noted, and what was known of it before. */
-interface NotedSession {
-  readonly seen: SeenSession;
-  readonly before: SeenSession | undefined;
+/** Entry of a session that an attempt wrote, and the entry that it replaced. */
+interface SessionNote {
+  readonly current: SeenSession;
+  readonly previous: SeenSession | undefined;
 }
 
-/** Notes the beginning, the bytes and the end of tries. */
-export class TryObserver {
+/** Observes the start, the received bytes and the end of attempts. */
+export class AttemptObserver {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** A request is about to be sent. */
-  began(observed: ObservedTry): void {
+  /** Called right before an attempt is sent. */
+  attemptStarted(observed: ObservedAttempt): void {
     const { server, head, record, work } = observed;
     const { serverLoads, promptHolders, sessionBook, clock } = this.#deps;
     const { instance } = server;
@@ -70,20 +70,22 @@
     const { release } = server;
     const nowMs = clock.monotonicMs();
     const times = { seenMs: nowMs, learntMs: nowMs };
-    // At once, so that others of the session that come meanwhile go to the same release.
-    const seen = { session, release, ...times, here: true };
-    observed.noted = { seen, before: sessionBook.note(seen) };
+    // Noted before the response, so that concurrent requests of the session use the same release.
+    const current = { session, release, ...times, here: true };
+    observed.sessionNote = { current, previous: sessionBook.note(current) };
   }
 
-  /** A byte of the answer has come. */
-  byteCame({ server, service, route, head, record, work }: ObservedTry): void {
+  /** Called whenever bytes of the response are received. */
+  bytesReceived(
+    { server, service, route, head, record, work }: ObservedAttempt,
+  ): void {
     const { silenceWatch, serverLoads, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     silenceWatch.spoke(server.instance, nowMs);
-    record.byteMs = nowMs;
+    record.lastByteMs = nowMs;
     if (record.firstByteMs !== undefined) return;
     record.firstByteMs = nowMs - record.startedMs;
-    // With the first byte, the prompt has been read.
+    // The first byte shows that the server has read the whole prompt.
     serverLoads.lighten(server.instance, work.readMs);
     silenceWatch.firstByte(kindOf(route, record.model), record.firstByteMs);
     if (record.model === undefined) return;
@@ -95,32 +97,32 @@
     });
   }
 
-  /** A try has ended; `expired` tells that the time of its request is up. */
-  ended(
-    observed: ObservedTry,
+  /** Called when an attempt has ended; `expired` says whether its request has timed out. */
+  attemptEnded(
+    observed: ObservedAttempt,
     { outcome, expired }: { outcome: TryOutcome; expired: boolean },
   ): void {
     const { server, record, work } = observed;
     const read = record.firstByteMs !== undefined;
-    const left = work.writeMs + (read ? 0 : work.readMs);
-    this.#deps.serverLoads.end(server.instance, left);
-    if (hasNotRun(outcome)) this.#forgetSession(observed);
-    this.#noteHealth(outcome, server.instance);
-    this.#noteEvidence(observed, { outcome, expired });
-    this.#notePace(observed, outcome);
+    const remainingMs = work.writeMs + (read ? 0 : work.readMs);
+    this.#deps.serverLoads.end(server.instance, remainingMs);
+    if (wasNotRun(outcome)) this.#revertSession(observed);
+    this.#recordHealth(outcome, server.instance);
+    this.#recordEvidence(observed, { outcome, expired });
+    this.#recordPace(observed, outcome);
   }
 
-  /** A session is not tied to a release that has run nothing of it. */
-  #forgetSession({ noted }: ObservedTry): void {
-    if (noted === undefined) return;
-    this.#deps.sessionBook.takeBack(noted.seen, noted.before);
+  /** Reverts the session to its previous release, as this one has not run any of its requests. */
+  #revertSession({ sessionNote }: ObservedAttempt): void {
+    if (sessionNote === undefined) return;
+    this.#deps.sessionBook.takeBack(sessionNote.current, sessionNote.previous);
   }
 
-  #noteEvidence(
-    { server, service, route, record }: ObservedTry,
+  #recordEvidence(
+    { server, service, route, record }: ObservedAttempt,
     { outcome, expired }: { outcome: TryOutcome; expired: boolean },
   ): void {
-    const failed = speaksAgainstRelease(outcome, expired);
+    const failed = isReleaseFailure(outcome, expired);
     if (failed === undefined) return;
     this.#deps.evidenceBook.observe({
       service,
@@ -132,7 +134,10 @@
     });
   }
 
-  #notePace({ route, head, record }: ObservedTry, outcome: TryOutcome): void {
+  #recordPace(
+    { route, head, record }: ObservedAttempt,
+    outcome: TryOutcome,
+  ): void {
     if (outcome.tag !== "streamed" || record.model === undefined) return;
     const { modelPace, clock } = this.#deps;
     modelPace.observe({
@@ -145,20 +150,21 @@
     });
   }
 
-  #noteHealth(outcome: TryOutcome, instance: InstanceId): void {
+  #recordHealth(outcome: TryOutcome, instance: InstanceId): void {
     const { serverLoads, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
-    const avoidMs = this.#avoidanceMs(outcome, { instance, nowMs });
-    if (avoidMs === undefined) return;
-    logger.warn("Server is avoided", {
+    const ejectedMs = this.#ejectionMs(outcome, { instance, nowMs });
+    if (ejectedMs === undefined) return;
+    logger.warn("Backend server ejected after failed attempt", {
       server: instance,
       outcome: outcome.tag,
-      for_ms: avoidMs,
+      for_ms: ejectedMs,
       failure_rate: serverLoads.failureRate(instance, nowMs),
     });
   }
 
-  #avoidanceMs(
+  /** Updates the health of a server; returns how long it is ejected, undefined if it is not. */
+  #ejectionMs(
     outcome: TryOutcome,
     { instance, nowMs }: { instance: InstanceId; nowMs: number },
   ): number | undefined {
@@ -180,7 +186,7 @@
       case "stream_broken":
         return serverLoads.failed(instance, nowMs);
       case "not_run":
-        // Nothing is guessed where the server has said for how long.
+        // A backoff time that the server asks for takes the place of an estimated one.
         return outcome.restMs > 0
           ? undefined
           : serverLoads.turnedAway(instance, nowMs);
@@ -190,14 +196,14 @@
   }
 }
 
-/** Whether no server has run the request of a try. */
-function hasNotRun({ tag }: TryOutcome): boolean {
+/** Whether it is certain that the server did not run the request. */
+function wasNotRun({ tag }: TryOutcome): boolean {
   return tag === "not_run" || tag === "withheld" || tag === "not_sent" ||
     tag === "misdirected";
 }
 
-/** Whether a try speaks against its release; undefined where it says nothing. */
-function speaksAgainstRelease(
+/** Whether an outcome counts as a failure of the release; undefined if it does not count at all. */
+function isReleaseFailure(
   outcome: TryOutcome,
   expired: boolean,
 ): boolean | undefined {
--- a/src/gateway/try_observer_test.ts
+++ b/src/gateway/attempt_observer_test.ts
@@ -1,7 +1,8 @@
 /**
- * Found by reading: a session counted as served by a release as soon as one of its requests was
- * about to be sent there. Where the release's servers all turned it away and asked for rest, a
- * session that had never run on it was kept for it, and refused while other servers were free.
+ * Guards against sessions bound to a release that never ran them. A session counts as served by a
+ * release as soon as one of its requests is about to be sent there. If all servers of the release
+ * rejected the request and asked for backoff, the session stayed bound to the release, and its
+ * requests were refused while servers of other releases were free.
  */
 
 import assert from "node:assert/strict";
@@ -18,14 +19,14 @@
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { SilentLogger } from "../runtime/logger.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
-import { type ObservedTry, TryObserver } from "./try_observer.ts";
-import { newTryRecord } from "./try_record.ts";
+import { AttemptObserver, type ObservedAttempt } from "./attempt_observer.ts";
+import { createAttemptRecord } from "./attempt_record.ts";
 
 const SESSION = "aa" as PromptPartId;
-const TRIAL = "v2" as ReleaseId;
+const CANARY = "v2" as ReleaseId;
 const NOW_MS = 1_000;
 const HEAD = decodeCallerHead({ "fieldrack-prefix-hash": "aa:900,01:10" });
-/** Ends of tries that no server has run. */
+/** Outcomes of attempts that no server has run. */
 const NOT_RUN: readonly TryOutcome[] = [
   { tag: "not_run", status: 503, restMs: 3_000 },
   { tag: "not_run", status: 503, restMs: 0 },
@@ -36,12 +37,12 @@
 
 let nowMs: number;
 let sessionBook: SessionBook;
-let observer: TryObserver;
+let observer: AttemptObserver;
 
 beforeEach(() => {
   nowMs = NOW_MS;
   sessionBook = new SessionBook(10_000);
-  observer = new TryObserver({
+  observer = new AttemptObserver({
     serverLoads: new ServerLoads(),
     evidenceBook: new EvidenceBook(),
     sessionBook,
@@ -54,7 +55,7 @@
   });
 });
 
-function begin(release: ReleaseId): ObservedTry {
+function startAttempt(release: ReleaseId): ObservedAttempt {
   const server = serverRecord("i-1", { release });
   const times = { startedMs: nowMs, expectedMs: 0 };
   const observed = {
@@ -62,48 +63,51 @@
     service: server.service,
     route: "r-1" as RouteId,
     head: HEAD,
-    record: newTryRecord(server, { model: undefined, ...times }),
+    record: createAttemptRecord(server, { model: undefined, ...times }),
     work: { readMs: 1, writeMs: 1, sharedMs: 0 },
   };
-  observer.began(observed);
+  observer.attemptStarted(observed);
   return observed;
 }
 
-function release(): ReleaseId | undefined {
+function boundRelease(): ReleaseId | undefined {
   return sessionBook.releaseOf(SESSION, nowMs);
 }
 
-describe("a session whose request no server ran", () => {
+describe("session whose request was not run", () => {
   for (const outcome of NOT_RUN) {
-    it(`should not be tied to the release that was asked: ${outcome.tag}`, () => {
-      const observed = begin(TRIAL);
-      assert.equal(release(), TRIAL);
-      observer.ended(observed, { outcome, expired: false });
-      assert.equal(release(), undefined);
+    it(`should not be bound to the release of the attempt: ${outcome.tag}`, () => {
+      const observed = startAttempt(CANARY);
+      assert.equal(boundRelease(), CANARY);
+      observer.attemptEnded(observed, { outcome, expired: false });
+      assert.equal(boundRelease(), undefined);
     });
   }
 
-  it("should stay with the release that ran it before", () => {
+  it("should stay bound to the release that ran it before", () => {
     const stable = serverRecord("i-1").release;
     const streamed: TryOutcome = { tag: "streamed", framed: true };
-    observer.ended(begin(stable), { outcome: streamed, expired: false });
+    observer.attemptEnded(startAttempt(stable), {
+      outcome: streamed,
+      expired: false,
+    });
     nowMs += 10;
-    const observed = begin(TRIAL);
-    observer.ended(observed, {
+    const observed = startAttempt(CANARY);
+    observer.attemptEnded(observed, {
       outcome: { tag: "withheld" },
       expired: false,
     });
-    assert.equal(release(), stable);
+    assert.equal(boundRelease(), stable);
   });
 
-  it("should stay with the release that has run another request of it since", () => {
-    const turnedAway = begin(TRIAL);
+  it("should stay bound to the release if another of its requests was sent there since", () => {
+    const rejected = startAttempt(CANARY);
     nowMs += 10;
-    begin(TRIAL);
-    observer.ended(turnedAway, {
+    startAttempt(CANARY);
+    observer.attemptEnded(rejected, {
       outcome: { tag: "withheld" },
       expired: false,
     });
-    assert.equal(release(), TRIAL);
+    assert.equal(boundRelease(), CANARY);
   });
 });
--- a/src/gateway/try_record.ts
+++ b/src/gateway/attempt_record.ts
@@ -1,46 +1,45 @@
-/** What is kept of each try of a request, for decisions and for the log. */
+/** Record of one attempt of a request, used for decisions and for the log. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { InstanceId, ModelId } from "../core/ids.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
 
-/** One try. */
-export interface TryRecord {
+/** State and outcome of one attempt. Points in time are in monotonic milliseconds. */
+export interface AttemptRecord {
   readonly server: InstanceId;
   /** `IP:port` of the server. */
   readonly address: string;
   readonly release: string;
   readonly model: ModelId | undefined;
-  /** By the monotonic clock, like all times here. */
   readonly startedMs: number;
-  /** Time to the first byte, as worked out when it was sent. */
+  /** Time to first byte, as predicted when the attempt started. */
   readonly expectedMs: number;
-  /** Time to the first byte of the answer. */
+  /** Time to first byte; undefined before the first byte of the response. */
   firstByteMs: number | undefined;
-  /** When the last byte came. */
-  byteMs: number | undefined;
+  /** When the latest byte of the response was received. */
+  lastByteMs: number | undefined;
   outcome: string;
-  /** Why it ended as it did, where the outcome does not say. */
+  /** Details of the outcome, where there are any. */
   reason: string | undefined;
-  /** When the first byte of the request left; undefined where none did. */
+  /** When the first byte of the request was written; undefined if none was. */
   sentMs: number | undefined;
-  /** When its server was known to have read it; undefined before. */
+  /** When the server was first known to have read the request; undefined before. */
   ackedMs: number | undefined;
-  /** How good the model took its answer to be, 0 to 100. */
+  /** Confidence of the model in its answer, 0 to 100. */
   confidence: number | undefined;
-  /** Requests a second that the server takes from all VMs, as its answer names it. */
+  /** Rate limit over all VMs that the response states, in requests per second. */
   limitPerS: number | undefined;
 }
 
-/** Begins the record of a try. */
-export function newTryRecord(
+/** Creates the record of an attempt that is starting. */
+export function createAttemptRecord(
   { instance, address, release }: ServerRecord,
   { model, startedMs, expectedMs }: {
     model: ModelId | undefined;
     startedMs: number;
     expectedMs: number;
   },
-): TryRecord {
+): AttemptRecord {
   return {
     server: instance,
     address,
@@ -49,7 +48,7 @@
     startedMs,
     expectedMs,
     firstByteMs: undefined,
-    byteMs: undefined,
+    lastByteMs: undefined,
     outcome: "under_way",
     reason: undefined,
     sentMs: undefined,
@@ -59,37 +58,46 @@
   };
 }
 
-/** Notes how a try ended. */
-export function endTryRecord(record: TryRecord, outcome: TryOutcome): void {
+/** Stores the outcome of an attempt in its record. */
+export function completeAttemptRecord(
+  record: AttemptRecord,
+  outcome: TryOutcome,
+): void {
   record.outcome = outcome.tag;
   record.reason = reasonOf(outcome);
 }
 
-/** "SERVER RELEASE MODEL sent at T ms: outcome (reason, first byte, expected, confidence)". */
-export function describeTry(record: TryRecord, arrivedMs: number): string {
+/**
+ * Formats an attempt for the log: "SERVER RELEASE MODEL sent at T ms: outcome (reason, first byte,
+ * expected first byte, acknowledgement, confidence, rate limit)".
+ */
+export function describeAttempt(
+  record: AttemptRecord,
+  arrivedMs: number,
+): string {
   const model = record.model === undefined ? "" : ` ${record.model}`;
   const details = [
     record.reason,
     record.firstByteMs === undefined
       ? "no first byte"
       : `first byte after ${Math.round(record.firstByteMs)} ms`,
-    `expected after ${Math.round(record.expectedMs)} ms`,
+    `first byte expected after ${Math.round(record.expectedMs)} ms`,
     describeAck(record),
     record.confidence === undefined
       ? undefined
       : `confidence ${record.confidence}`,
     record.limitPerS === undefined
       ? undefined
-      : `names ${record.limitPerS} a second`,
+      : `rate limit ${record.limitPerS} requests/s`,
   ].filter((text) => text !== undefined).join(", ");
   const sentMs = Math.round(record.startedMs - arrivedMs);
   return `${record.server} ${record.release}${model} sent at ${sentMs} ms: ` +
     `${record.outcome} (${details})`;
 }
 
-/** Says how long the bytes of an attempt may have lain unread, where that is not plain. */
+/** Describes how long an attempt may have stayed unread; undefined if the first byte shows it. */
 function describeAck(
-  { sentMs, ackedMs, firstByteMs }: TryRecord,
+  { sentMs, ackedMs, firstByteMs }: AttemptRecord,
 ): string | undefined {
   if (sentMs === undefined) return "nothing sent";
   if (ackedMs === undefined) return "not acknowledged";
@@ -106,7 +114,7 @@
       return outcome.reason;
     case "not_run":
       return outcome.restMs > 0
-        ? `status ${outcome.status}, asks for ${outcome.restMs} ms of rest`
+        ? `status ${outcome.status}, requests ${outcome.restMs} ms of backoff`
         : `status ${outcome.status}`;
     case "answered":
       return `status ${outcome.head.status}`;
--- /dev/null
+++ b/src/gateway/attempt_sender.ts
@@ -0,0 +1,434 @@
+/** Sends one request to backend servers, one attempt at a time, and records the attempts. */
+
+import type { Buffer } from "node:buffer";
+import type { BackendRequest } from "../backends/backend_connection.ts";
+import type { BackendConnections } from "../backends/backend_connections.ts";
+import {
+  type AnswerHead,
+  BackendTry,
+  type HeadVerdict,
+  type TryOutcome,
+} from "../backends/backend_try.ts";
+import type { InstanceId, ModelId, ServiceId } from "../core/ids.ts";
+import { mayRunAgain } from "../core/routes/route.ts";
+import type { ServerLoads } from "../core/servers/server_loads.ts";
+import type { ServerRecord } from "../core/servers/server_record.ts";
+import type { SilenceReason } from "../core/servers/silence.ts";
+import type { PlaceBorrower } from "../fleet/place_borrower.ts";
+import { encodeBackendRequest } from "../platform/header_wire.ts";
+import type { Clock } from "../runtime/clock.ts";
+import type { AttemptAcks } from "./attempt_acks.ts";
+import type { CallerExchange } from "./caller_exchange.ts";
+import type { ModelChoice } from "./model_choice.ts";
+import type { Admitted } from "./request_admission.ts";
+import type { RetryPermit } from "./retry_permit.ts";
+import type { ServerGate } from "./server_gate.ts";
+import type { ServerNotices } from "./server_notices.ts";
+import type { Selection, ServerSelector } from "./server_selector.ts";
+import type { SuspectPlaces } from "./suspect_places.ts";
+import type { StreamRelay } from "./stream_relay.ts";
+import type { AttemptObserver, ObservedAttempt } from "./attempt_observer.ts";
+import {
+  type AttemptRecord,
+  completeAttemptRecord,
+  createAttemptRecord,
+} from "./attempt_record.ts";
+import type { AttemptStallDetector } from "./attempt_stall_detector.ts";
+import type { PredictedWork, WorkPredictor } from "./work_predictor.ts";
+
+/** Least urgent priority class that backend servers accept. */
+const LOWEST_URGENCY = 9;
+/** Responses with this status or a higher one count as failures of the server. */
+const FIRST_FAILURE_STATUS = 500;
+/** Connect error where no process listens at the server's address. */
+const CONNECTION_REFUSED = "ECONNREFUSED";
+const NO_INSTANCES: ReadonlySet<InstanceId> = new Set();
+
+/** Dependencies shared by all senders. */
+export interface AttemptSenderDeps {
+  readonly serverSelector: ServerSelector;
+  readonly serverGate: ServerGate;
+  readonly placeBorrower: PlaceBorrower;
+  readonly suspectPlaces: SuspectPlaces;
+  readonly backendConnections: BackendConnections;
+  readonly attemptObserver: AttemptObserver;
+  readonly attemptStallDetector: AttemptStallDetector;
+  readonly attemptAcks: AttemptAcks;
+  readonly serverNotices: ServerNotices;
+  readonly serverLoads: ServerLoads;
+  readonly workPredictor: WorkPredictor;
+  readonly clock: Clock;
+}
+
+/** The request as it is shared by all its attempts. */
+export interface OutgoingRequest {
+  readonly exchange: CallerExchange;
+  readonly body: Buffer | undefined;
+  readonly service: ServiceId;
+  readonly models: ModelChoice;
+  readonly stream: StreamRelay;
+}
+
+/** Constraints on the choice of the next server. */
+export interface ServerChoiceOptions {
+  /** Whether a server that was already tried may be chosen again. */
+  readonly allowTried: boolean;
+  /** Whether to avoid servers that run other requests suspected of crashing servers. */
+  readonly isolate: boolean;
+}
+
+/** Options of a single attempt. */
+export interface AttemptOptions {
+  readonly admitted: Admitted;
+  /** Time until the request expires, in milliseconds. */
+  readonly remainingMs: number;
+  /** Decides by its head how a response is handled. */
+  readonly onHead: (head: AnswerHead) => HeadVerdict;
+  /** Whether other requests suspected of crashing servers avoid this server meanwhile. */
+  readonly isolate: boolean;
+  /** Permit that a retry consumes when its first byte is written. */
+  readonly permit: RetryPermit;
+  /** Whether a server may have received the request in an earlier attempt. */
+  readonly isRetry: boolean;
+  /** Whether the request has expired; evaluated when the attempt ends. */
+  readonly isExpired: () => boolean;
+}
+
+/** Makes the attempts of one request. */
+export class AttemptSender {
+  readonly #deps: AttemptSenderDeps;
+  readonly #request: OutgoingRequest;
+  readonly #tried = new Set<InstanceId>();
+  readonly #attempts: AttemptRecord[] = [];
+  #current: BackendTry | undefined;
+  /** Server of the latest attempt. */
+  #server: ServerRecord | undefined;
+
+  constructor(deps: AttemptSenderDeps, request: OutgoingRequest) {
+    this.#deps = deps;
+    this.#request = request;
+  }
+
+  /** Attempts made so far, the latest last. */
+  get attempts(): readonly AttemptRecord[] {
+    return this.#attempts;
+  }
+
+  /** Whether a server may have received the request in any attempt. */
+  get wasSent(): boolean {
+    return this.#attempts.some(({ outcome }) =>
+      outcome !== "withheld" && outcome !== "not_sent"
+    );
+  }
+
+  /** Whether the server may have received bytes of the current attempt. */
+  get isCurrentSent(): boolean {
+    return this.#current?.sent ?? false;
+  }
+
+  /** Time since the latest attempt started, in milliseconds. */
+  get lastAttemptAgeMs(): number {
+    const nowMs = this.#deps.clock.monotonicMs();
+    return nowMs - (this.#attempts.at(-1)?.startedMs ?? nowMs);
+  }
+
+  /** Whether a byte of the response was received in the latest attempt. */
+  get hasFirstByte(): boolean {
+    return this.#attempts.at(-1)?.firstByteMs !== undefined;
+  }
+
+  /**
+   * Returns the server for the next attempt. A server that was already tried is returned only if
+   * no other one is available and `allowTried` is set.
+   */
+  chooseServer(
+    admitted: Admitted,
+    options: ServerChoiceOptions,
+  ): ServerRecord | undefined {
+    const other = this.chooseOtherServer(admitted, options);
+    if (other !== undefined || !options.allowTried) return other;
+    const { model } = this.#request.models;
+    return this.#select(admitted, { tried: NO_INSTANCES, model });
+  }
+
+  /** Like `chooseServer`, but never returns the server of the latest attempt. */
+  chooseOtherServer(
+    admitted: Admitted,
+    { allowTried, isolate }: ServerChoiceOptions,
+  ): ServerRecord | undefined {
+    const { model } = this.#request.models;
+    if (isolate) {
+      const { taken } = this.#deps.suspectPlaces;
+      const tried = new Set([...this.#tried, ...taken]);
+      const isolated = this.#select(admitted, { tried, model });
+      if (isolated !== undefined) return isolated;
+    }
+    const untried = this.#select(admitted, { tried: this.#tried, model });
+    if (untried !== undefined || !allowTried) return untried;
+    const last = this.#attempts.at(-1)?.server;
+    const tried = last === undefined ? NO_INSTANCES : new Set([last]);
+    return this.#select(admitted, { tried, model });
+  }
+
+  /** Whether an untried server is available that is not ejected for failures. */
+  hasHealthyServer(
+    admitted: Admitted,
+    { isolate }: ServerChoiceOptions,
+  ): boolean {
+    const { serverLoads, clock } = this.#deps;
+    const server = this.chooseOtherServer(admitted, {
+      allowTried: false,
+      isolate,
+    });
+    return server !== undefined &&
+      !serverLoads.isEjected(server.instance, clock.monotonicMs());
+  }
+
+  /** Predicted time to first byte of a model on the server that would be chosen for it. */
+  predictStartMs(admitted: Admitted, model: ModelId): number {
+    const work = this.#predictWork(admitted, model);
+    const server = this.#select(admitted, { tried: NO_INSTANCES, model });
+    if (server === undefined) return Infinity;
+    const { serverLoads, serverSelector } = this.#deps;
+    const { head } = this.#request.exchange;
+    const isCached = serverSelector.holds(server, { head, model });
+    return serverLoads.work(server.instance) + work.readMs +
+      (isCached ? 0 : work.sharedMs);
+  }
+
+  /** Borrows rate limit capacity from another VM; returns whether it was granted. */
+  borrowCapacity(
+    admitted: Admitted,
+    { allowTried }: ServerChoiceOptions,
+  ): Promise<boolean> {
+    const { serverSelector, placeBorrower } = this.#deps;
+    const { model } = this.#request.models;
+    const tried = allowTried ? NO_INSTANCES : this.#tried;
+    const selection = this.#selection(admitted, { tried, model });
+    return placeBorrower.borrow(serverSelector.lacking(selection));
+  }
+
+  /**
+   * Milliseconds until a server accepts the request; undefined unless all of them are backing off
+   * or in slow start.
+   */
+  opensInMs(admitted: Admitted): number | undefined {
+    const { model } = this.#request.models;
+    return this.#deps.serverSelector.opensInMs(
+      this.#selection(admitted, { tried: NO_INSTANCES, model }),
+    );
+  }
+
+  /** Makes servers that were tried eligible again, for example for another model. */
+  resetTried(): void {
+    this.#tried.clear();
+  }
+
+  /** Sends the request to a server; resolves when the attempt has ended. */
+  async send(
+    server: ServerRecord,
+    options: AttemptOptions,
+  ): Promise<TryOutcome> {
+    const {
+      backendConnections,
+      attemptObserver,
+      serverGate,
+      serverNotices,
+      suspectPlaces,
+      attemptAcks,
+    } = this.#deps;
+    const { exchange, stream } = this.#request;
+    const observed = this.#observe(server, options.admitted);
+    this.#server = server;
+    this.#attempts.push(observed.record);
+    this.#tried.add(server.instance);
+    const place = serverGate.sending(server);
+    if (options.isolate) suspectPlaces.begin(server.instance);
+    attemptObserver.attemptStarted(observed);
+    this.#current = new BackendTry(backendConnections, {
+      server,
+      request: this.#backendRequest(server, options),
+      attempt: exchange.head.attempt,
+      // A reused connection may be closing, which leaves unclear whether the request ran. A
+      // request that must not run twice gets a fresh connection.
+      fresh: !mayRunAgain(options.admitted.route),
+      // While the connection was set up, the server may have asked for backoff or a lower rate,
+      // or may have started draining.
+      maySend: () => {
+        const maySend = serverGate.maySend(server, place) &&
+          this.#consumeRetryPermit(server, options);
+        if (maySend) this.#trackAck(observed, options);
+        return maySend;
+      },
+      sink: {
+        judge: (head) => {
+          observed.record.confidence = head.decoded.confidence;
+          serverGate.took(server, observed.record.startedMs);
+          if (head.status < FIRST_FAILURE_STATUS) {
+            serverNotices.answered(
+              server,
+              head.notice,
+              observed.record.startedMs,
+            );
+          }
+          return options.onHead(head);
+        },
+        write: (chunk) =>
+          stream.write(chunk, () => this.#resumeReading(observed)),
+        onNotice: (notice) => {
+          observed.record.limitPerS = notice.limitPerS;
+          serverNotices.heard(server, notice);
+        },
+        onProgress: () => {
+          attemptObserver.bytesReceived(observed);
+          attemptAcks.responseReceived(server, observed.record);
+        },
+        onClosed: () => attemptAcks.connectionClosed(server, observed.record),
+      },
+    });
+    const outcome = await this.#current.run();
+    this.#current = undefined;
+    place.release();
+    if (outcome.tag === "withheld") this.#tried.delete(server.instance);
+    if (options.isolate) suspectPlaces.end(server.instance);
+    if (outcome.tag === "not_sent" && outcome.reason === CONNECTION_REFUSED) {
+      attemptAcks.connectionRefused(server);
+    }
+    completeAttemptRecord(observed.record, outcome);
+    attemptObserver.attemptEnded(observed, {
+      outcome,
+      expired: options.isExpired(),
+    });
+    return outcome;
+  }
+
+  /** Consumes the retry permit unless the server is unresponsive; first attempts need none. */
+  #consumeRetryPermit(
+    server: ServerRecord,
+    { isRetry, permit }: AttemptOptions,
+  ): boolean {
+    if (!isRetry) return true;
+    return !this.#deps.attemptAcks.isUnresponsive(server) && permit.consume();
+  }
+
+  #trackAck(
+    { server, record }: ObservedAttempt,
+    { permit }: AttemptOptions,
+  ): void {
+    this.#deps.attemptAcks.attemptSent(server, {
+      record,
+      onAcked: () => permit.attemptArrived(),
+    });
+  }
+
+  /**
+   * Resumes reading after backpressure from the caller. The pause is not counted towards the
+   * stall time-out of the server.
+   */
+  #resumeReading({ record }: ObservedAttempt): void {
+    record.lastByteMs = this.#deps.clock.monotonicMs();
+    this.#current?.resume();
+  }
+
+  /** Aborts the current attempt, if there is one. */
+  abort(outcome?: TryOutcome): void {
+    this.#current?.giveUp(outcome);
+  }
+
+  /** Aborts the current attempt because its server has stalled. */
+  abortStalled(reason: SilenceReason): void {
+    const streaming = this.#request.exchange.state === "begun";
+    this.abort({ tag: streaming ? "stream_broken" : "broken", reason });
+  }
+
+  /** Returns why the current attempt counts as stalled; undefined while it does not. */
+  stallReason(
+    { table, route }: Admitted,
+    nowMs: number,
+  ): SilenceReason | undefined {
+    const record = this.#attempts.at(-1);
+    const server = this.#server;
+    if (record === undefined || server === undefined) return undefined;
+    if (!this.isCurrentSent || this.#current?.paused === true) return undefined;
+    const { service } = this.#request;
+    const isModelServer = table.service(service)?.engine !== undefined;
+    const pending = { server, record, route, isModelServer };
+    return this.#deps.attemptStallDetector.check(pending, nowMs);
+  }
+
+  #select(
+    admitted: Admitted,
+    { tried, model }: {
+      tried: ReadonlySet<InstanceId>;
+      model: ModelId | undefined;
+    },
+  ): ServerRecord | undefined {
+    return this.#deps.serverSelector.choose(
+      this.#selection(admitted, { tried, model }),
+    );
+  }
+
+  #selection(
+    admitted: Admitted,
+    { tried, model }: Pick<Selection, "tried" | "model">,
+  ): Selection {
+    const { exchange, service } = this.#request;
+    const { sharedMs } = this.#predictWork(admitted, model);
+    const { head } = exchange;
+    return { service, head, model, tried, isRetry: this.wasSent, sharedMs };
+  }
+
+  #observe(server: ServerRecord, admitted: Admitted): ObservedAttempt {
+    const { exchange, service, models } = this.#request;
+    const { model } = models;
+    const { clock, serverLoads } = this.#deps;
+    const work = this.#predictWork(admitted, model);
+    // Includes the shared prompt parts, as it is not certain that the server has them cached.
+    const expectedMs = serverLoads.work(server.instance) + work.readMs +
+      work.sharedMs;
+    return {
+      server,
+      service,
+      route: admitted.route.id,
+      head: exchange.head,
+      record: createAttemptRecord(server, {
+        model,
+        startedMs: clock.monotonicMs(),
+        expectedMs,
+      }),
+      work,
+    };
+  }
+
+  #predictWork(
+    { table }: Admitted,
+    model: ModelId | undefined,
+  ): PredictedWork {
+    const { exchange, service } = this.#request;
+    return this.#deps.workPredictor.predict(exchange.head, {
+      service: table.service(service),
+      model,
+    });
+  }
+
+  #backendRequest(
+    { instance }: ServerRecord,
+    { admitted, remainingMs }: AttemptOptions,
+  ): BackendRequest {
+    const { exchange, body, models, stream } = this.#request;
+    const { method, url, host, rawHeaders } = exchange;
+    const { account, route, priority } = admitted;
+    const headers = encodeBackendRequest(rawHeaders, {
+      host,
+      instance,
+      waitMs: remainingMs,
+      account,
+      urgency: route.kind === "stream"
+        ? Math.min(LOWEST_URGENCY, priority)
+        : undefined,
+      model: models.model,
+      lastEvent: stream.lastEvent,
+    });
+    return { method, path: url, headers, body };
+  }
+}
--- a/src/gateway/try_silence.ts
+++ b/src/gateway/attempt_stall_detector.ts
@@ -1,4 +1,4 @@
-/** Tells servers that have fallen silent under a try from those that are only slow. */
+/** Distinguishes attempts whose server has stalled from those whose server is only slow. */
 
 import type { ServerProbe } from "../backends/server_probe.ts";
 import type { Route } from "../core/routes/route.ts";
@@ -16,37 +16,37 @@
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { ServerGate } from "./server_gate.ts";
 import type { ServerNotices } from "./server_notices.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
   readonly silenceWatch: SilenceWatch;
   readonly serverProbe: ServerProbe;
   readonly serverNotices: ServerNotices;
-  readonly attemptAcks: Pick<AttemptAcks, "probed">;
+  readonly attemptAcks: Pick<AttemptAcks, "probeAnswered">;
   readonly serverGate: ServerGate;
 }
 
-/** A try that waits for bytes of its server. */
-export interface WaitingServer {
+/** An attempt that is waiting for bytes from its server. */
+export interface PendingAttempt {
   readonly server: ServerRecord;
-  readonly record: TryRecord;
+  readonly record: AttemptRecord;
   readonly route: Route;
-  /** Whether it is a model server, which may be asked how it is doing. */
-  readonly hasEngine: boolean;
+  /** Whether the server is a model server; only those support probes. */
+  readonly isModelServer: boolean;
 }
 
-/** Watches over tries, and has quiet model servers asked whether they still answer. */
-export class TrySilence {
+/** Checks attempts for stalls, and probes model servers that have sent nothing for a while. */
+export class AttemptStallDetector {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Says why a try should be given up as silent, if it should. */
-  judge(
-    { server, record, route, hasEngine }: WaitingServer,
+  /** Returns why an attempt counts as stalled; undefined while it does not. */
+  check(
+    { server, record, route, isModelServer }: PendingAttempt,
     nowMs: number,
   ): SilenceReason | undefined {
     const { silenceWatch, serverProbe, serverGate } = this.#deps;
@@ -57,25 +57,25 @@
       sentMs: record.startedMs,
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
-      byteMs: record.byteMs,
-      askableMs: hasEngine ? serverGate.askableMs(server) : undefined,
+      byteMs: record.lastByteMs,
+      askableMs: isModelServer ? serverGate.askableMs(server) : undefined,
     };
-    if (hasEngine && silenceWatch.isQuiet(waiting, nowMs)) {
+    if (isModelServer && silenceWatch.isQuiet(waiting, nowMs)) {
       serverProbe.ask(
         server,
-        (notice) => this.#probed(server, { notice, sentMs: nowMs }),
+        (notice) => this.#probeAnswered(server, { notice, sentMs: nowMs }),
       );
     }
     return silenceWatch.judge(waiting, nowMs);
   }
 
-  #probed(
+  #probeAnswered(
     server: ServerRecord,
     { notice, sentMs }: { notice: ServerNotice; sentMs: number },
   ): void {
     const { serverNotices, attemptAcks } = this.#deps;
     serverNotices.heard(server, notice);
-    attemptAcks.probed(server, sentMs);
+    attemptAcks.probeAnswered(server, sentMs);
   }
 
   #hasRestarted(server: ServerRecord): boolean {
--- a/src/gateway/caller_exchange.ts
+++ b/src/gateway/caller_exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller: its body, its time, and the one answer to it. */
+/** HTTP exchange with a caller: the body of the request, its age, and the response to it. */
 
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -14,27 +14,27 @@
 import type { Clock } from "../runtime/clock.ts";
 import { nextTurn } from "../runtime/next_turn.ts";
 
-/** How the answer stands. */
-export type AnswerState = "none" | "begun" | "ended" | "cut" | "caller_gone";
+/** State of the response. */
+export type ResponseState = "none" | "begun" | "ended" | "cut" | "caller_gone";
 
-/** Holds a caller's connection until its request has its answer. */
+/** Reads one request from a caller and writes exactly one response, whole or streamed. */
 export class CallerExchange {
   readonly head: CallerHead;
   readonly method: string;
-  /** Path and query as the caller sent them. */
+  /** Path and query, exactly as received. */
   readonly url: string;
   readonly host: string;
   readonly rawHeaders: readonly string[];
-  /** When the head of the request came, by the monotonic clock. */
+  /** When the head of the request was received, in monotonic milliseconds. */
   readonly arrivedMs: number;
   readonly #req: IncomingMessage;
   readonly #res: ServerResponse;
   readonly #clock: Clock;
   readonly #closing: () => boolean;
-  #state: AnswerState = "none";
+  #state: ResponseState = "none";
   #status: number | undefined;
-  #gathering = false;
-  #onGone: () => void = () => {};
+  #corked = false;
+  #onDisconnect: () => void = () => {};
 
   constructor(
     { req, res, url, clock, closing }: {
@@ -42,7 +42,7 @@
       res: ServerResponse;
       url: string;
       clock: Clock;
-      /** Whether the connection should end after this answer. */
+      /** Whether to close the connection after this response. */
       closing: () => boolean;
     },
   ) {
@@ -56,8 +56,8 @@
     this.host = req.headers.host ?? "";
     this.rawHeaders = req.rawHeaders;
     this.head = decodeCallerHead(req.headers);
-    res.on("close", () => this.#closed());
-    // Errors of the connection end in "close" as well, which is what counts.
+    res.on("close", () => this.#handleClose());
+    // A connection error is always followed by "close", which handles it.
     res.on("error", () => {});
     req.on("error", () => {});
   }
@@ -68,33 +68,33 @@
     return query < 0 ? this.url : this.url.slice(0, query);
   }
 
-  /** Whether nothing more can reach the caller. */
-  get isOver(): boolean {
+  /** Whether nothing more can be sent to the caller. */
+  get isFinished(): boolean {
     return this.#state !== "none" && this.#state !== "begun";
   }
 
-  /** How the answer stands. */
-  get state(): AnswerState {
+  /** State of the response. */
+  get state(): ResponseState {
     return this.#state;
   }
 
-  /** Status of the answer, once it has begun. */
+  /** Status of the response; undefined before its head is written. */
   get status(): number | undefined {
     return this.#status;
   }
 
-  /** Milliseconds since the request came. */
+  /** Time since the head of the request was received, in milliseconds. */
   ageMs(): number {
     return this.#clock.monotonicMs() - this.arrivedMs;
   }
 
-  /** Calls back when the caller leaves before its answer has ended. */
-  onGone(listener: () => void): void {
-    this.#onGone = listener;
+  /** Sets the listener that is called if the caller disconnects before its response has ended. */
+  onDisconnect(listener: () => void): void {
+    this.#onDisconnect = listener;
     if (this.#state === "caller_gone") listener();
   }
 
-  /** Reads the whole body; undefined when there is none. */
+  /** Reads the whole body; undefined if it is empty. */
   readBody(limitBytes: number): Promise<Result<Buffer | undefined, Refusal>> {
     return new Promise((resolve) => {
       const chunks: Buffer[] = [];
@@ -108,25 +108,26 @@
         resolve(ok(chunks.length === 0 ? undefined : Buffer.concat(chunks)));
       });
       this.#req.once("close", () => {
-        // After "end" this changes nothing.
+        // Has no effect after "end", which has resolved the promise already.
         resolve(fail({ tag: "malformed", reason: "Body was cut short" }));
       });
     });
   }
 
   /**
-   * Finds out whether the caller has left already. A VM that is behind reads a request and
-   * then, a turn of the loop later, that its caller has given it up; where it is not behind,
-   * the turn takes no time. Without this, 25 to 30 requests of a day with a loss of all VMs
-   * reached servers over half a second after their callers had left.
+   * Detects that the caller has already disconnected. An overloaded VM reads a request one turn of
+   * the event loop before it reads that the caller has closed the connection; on a VM that keeps
+   * up, waiting for that turn costs nothing. Without this check, 25 to 30 requests on a day that
+   * included the loss of all VMs reached servers more than half a second after their callers had
+   * disconnected.
    */
-  async lookForCaller(): Promise<void> {
+  async detectDisconnect(): Promise<void> {
     await nextTurn();
     const { socket } = this.#req;
-    if (socket.destroyed || socket.readableEnded) this.#closed();
+    if (socket.destroyed || socket.readableEnded) this.#handleClose();
   }
 
-  /** Answers that no server's answer is to be had. */
+  /** Responds with an error of this VM in place of a response of a backend server. */
   refuse(refusal: Refusal): void {
     if (this.#state !== "none") return;
     const { status, message, retryAfterMs } = refusalAnswer(refusal);
@@ -139,8 +140,8 @@
     this.#end(body);
   }
 
-  /** Passes on a whole answer. */
-  answer({ status, headers }: AnswerHead, body: Buffer): void {
+  /** Sends a complete response of a backend server. */
+  respond({ status, headers }: AnswerHead, body: Buffer): void {
     if (this.#state !== "none") return;
     const length = this.method === "HEAD"
       ? headers["content-length"]
@@ -152,49 +153,49 @@
     this.#end(body);
   }
 
-  /** Begins an answer whose body is passed on as it comes. */
+  /** Sends the head of a response whose body is streamed. */
   beginStream({ status, headers }: AnswerHead): void {
     if (this.#state !== "none") return;
-    this.#gather();
+    this.#corkForTurn();
     this.#begin(status, answerHeadersFor(headers));
     this.#res.flushHeaders();
   }
 
-  /** Passes on bytes; returns false while the caller does not keep up. */
+  /** Writes bytes of the streamed body; returns false while the caller applies backpressure. */
   write(chunk: Buffer): boolean {
     if (this.#state !== "begun") return true;
-    this.#gather();
+    this.#corkForTurn();
     return this.#res.write(chunk);
   }
 
-  /** Calls back once the caller has caught up. */
+  /** Calls the listener once, when the caller accepts more bytes. */
   onDrain(listener: () => void): void {
     this.#res.once("drain", listener);
   }
 
-  /** Ends a stream as complete. */
+  /** Ends a streamed body as complete. */
   endStream(): void {
     if (this.#state === "begun") this.#end(undefined);
   }
 
-  /** Cuts the connection, so that an answer that is not whole does not look so. */
+  /** Destroys the connection, so that an incomplete response does not look complete. */
   cut(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.#state = "cut";
     this.#res.destroy();
   }
 
   /**
-   * Sends what is written in this turn of the loop at once: a head often comes with its
-   * first event and an end with the last, and each packet costs both sides a wake-up.
+   * Batches all writes of this turn of the event loop into one packet. The head often arrives with
+   * the first event, and the end with the last one; each packet wakes up both sides.
    */
-  #gather(): void {
-    if (this.#gathering) return;
-    this.#gathering = true;
+  #corkForTurn(): void {
+    if (this.#corked) return;
+    this.#corked = true;
     this.#res.cork();
     setImmediate(() => {
-      this.#gathering = false;
-      // An end has sent everything already.
+      this.#corked = false;
+      // Ending the response has flushed all writes already.
       if (this.#state === "begun") this.#res.uncork();
     });
   }
@@ -211,9 +212,9 @@
     this.#res.end(body);
   }
 
-  #closed(): void {
-    if (this.isOver) return;
+  #handleClose(): void {
+    if (this.isFinished) return;
     this.#state = "caller_gone";
-    this.#onGone();
+    this.#onDisconnect();
   }
 }
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -11,7 +11,7 @@
 import type { Logger } from "../runtime/logger.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { RequestIdentity } from "./request_identity.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 
 interface Deps {
   readonly serverEndCheck: ServerEndCheck;
@@ -36,7 +36,7 @@
 /** A try whose connection broke off. */
 export interface BrokenTry {
   readonly server: ServerRecord;
-  readonly record: TryRecord;
+  readonly record: AttemptRecord;
   /** Servers that had ended under the request when it was sent, or broken it off before. */
   readonly after: readonly ServerLife[];
 }
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -79,8 +79,8 @@
 import { ServerSelector } from "./server_selector.ts";
 import { StopState } from "./stop_state.ts";
 import { SuspectPlaces } from "./suspect_places.ts";
-import { TryObserver } from "./try_observer.ts";
-import { TrySilence } from "./try_silence.ts";
+import { AttemptObserver } from "./attempt_observer.ts";
+import { AttemptStallDetector } from "./attempt_stall_detector.ts";
 import { TrialController } from "./trial_controller.ts";
 import { WorkPredictor } from "./work_predictor.ts";
 
@@ -295,8 +295,8 @@
     serverNotices: one(ServerNotices),
     serverSelector: one(ServerSelector),
     requestAdmission: one(RequestAdmission),
-    tryObserver: one(TryObserver),
-    trySilence: one(TrySilence),
+    attemptObserver: one(AttemptObserver),
+    attemptStallDetector: one(AttemptStallDetector),
     attemptAcks: one(AttemptAcks),
     requestLog: one(RequestLog),
     requestServer: one(RequestServer),
--- a/src/gateway/request_crashes.ts
+++ b/src/gateway/request_crashes.ts
@@ -6,7 +6,7 @@
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
 import { pause } from "../runtime/pause.ts";
 import type { CrashWatch, WatchedRequest } from "./crash_watch.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 
 /**
  * Longest wait before a request is sent again for word whether its last server has ended. Most
@@ -60,7 +60,10 @@
   /** Finds out what the end of a try says, before another one is made. */
   async tryEnded(
     outcome: TryOutcome,
-    { server, record }: { server: ServerRecord; record: TryRecord | undefined },
+    { server, record }: {
+      server: ServerRecord;
+      record: AttemptRecord | undefined;
+    },
   ): Promise<void> {
     if (outcome.tag !== "broken" && outcome.tag !== "stream_broken") return;
     if (record === undefined) return;
--- a/src/gateway/request_crashes_test.ts
+++ b/src/gateway/request_crashes_test.ts
@@ -17,7 +17,7 @@
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import { RequestCrashes } from "./request_crashes.ts";
 import { RequestIdentity } from "./request_identity.ts";
-import { newTryRecord } from "./try_record.ts";
+import { createAttemptRecord } from "./attempt_record.ts";
 
 const SERVICE = "tracker" as ServiceId;
 /** Longer than verdicts take to settle. */
@@ -67,7 +67,7 @@
 async function crash(n: number): Promise<void> {
   await crashes.settled(() => false);
   const server = serverRecord(`i-${n}`, { address: `10.0.0.${n}:80` });
-  const record = newTryRecord(server, {
+  const record = createAttemptRecord(server, {
     model: undefined,
     startedMs: nowMs,
     expectedMs: 10,
--- a/src/gateway/request_end.ts
+++ b/src/gateway/request_end.ts
@@ -76,7 +76,7 @@
   /** Gives the final answer, or cuts a stream that has begun. */
   refuse(refusal: Refusal): void {
     const { requestLog } = this.#deps;
-    if (this.#exchange.isOver) return;
+    if (this.#exchange.isFinished) return;
     if (this.#exchange.state === "begun") {
       this.#exchange.cut();
       requestLog.cut(this.#exchange, { refusal, run: this.#summary() });
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -7,7 +7,7 @@
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
 import type { RunSummary } from "./run_summary.ts";
-import { describeTry } from "./try_record.ts";
+import { describeAttempt } from "./attempt_record.ts";
 
 const MS_PER_SECOND = 1_000;
 /** One in so many requests that went well is logged. */
@@ -95,9 +95,10 @@
       status,
       state: exchange.state,
       age_ms: Math.round(exchange.ageMs()),
-      tries: run.tries.map((one) => describeTry(one, exchange.arrivedMs)).join(
-        "; ",
-      ),
+      tries: run.tries.map((one) => describeAttempt(one, exchange.arrivedMs))
+        .join(
+          "; ",
+        ),
     });
   }
 
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -1,4 +1,4 @@
-/** One caller's request on its way through one or more tries. */
+/** Runs one request of a caller through one or more attempts at backend servers. */
 
 import type { Buffer } from "node:buffer";
 import type {
@@ -25,19 +25,19 @@
 import { RunTally } from "./run_tally.ts";
 import type { RunSummary } from "./run_summary.ts";
 import { StreamRelay } from "./stream_relay.ts";
-import { TrySender, type TrySenderDeps } from "./try_sender.ts";
+import { AttemptSender, type AttemptSenderDeps } from "./attempt_sender.ts";
 
-/** Wait of a caller that names none and whose route names none, in milliseconds. */
-const DEFAULT_WAIT_MS = 30_000;
-/** Shortest time with which a request is still sent to a server, in milliseconds. */
-const MIN_WAIT_MS = 20;
-/** Statuses from here on tell of errors. */
+/** Time limit of a request whose caller states none; its route may set a lower one. */
+const DEFAULT_TIME_LIMIT_MS = 30_000;
+/** A request with less time left than this is not sent to a server any more. */
+const MIN_LEFT_MS = 20;
+/** Responses with this status or a higher one are errors. */
 const FIRST_ERROR_STATUS = 400;
-/** Why a request ends that may not be sent again. */
-const NO_RETRY = "retry budget exhausted";
+/** Reason given when a request may not be retried. */
+const BUDGET_EXHAUSTED = "retry budget exhausted";
 
-/** What all runs share. */
-export interface RequestRunDeps extends TrySenderDeps {
+/** Dependencies shared by all runs. */
+export interface RequestRunDeps extends AttemptSenderDeps {
   readonly serverFollower: ServerFollower;
   readonly retryBudget: RetryBudget;
   readonly modelPace: ModelPace;
@@ -46,21 +46,21 @@
   readonly chance: () => number;
 }
 
-type Next = "again" | "done";
+type StepResult = "again" | "done";
 
-/** Runs one admitted request to its end. */
+/** Runs one admitted request until its response is sent or its caller disconnects. */
 export class RequestRun {
   readonly #deps: RequestRunDeps;
   readonly #exchange: CallerExchange;
   readonly #service: ServiceId;
   readonly #models: ModelChoice;
   readonly #stream: StreamRelay;
-  readonly #sender: TrySender;
+  readonly #sender: AttemptSender;
   readonly #limitMs: number;
   /**
-   * What the request was accepted as. It holds for all tries: judging the request again by
-   * later news (a key withdrawn, a route removed, the store out of reach) would cut streams
-   * of which callers have a part.
+   * Result of the admission, which applies to all attempts. Repeating the admission with newer
+   * configuration (a key revoked, a route removed, the store unreachable) would cut streams of
+   * which callers have already received a part.
    */
   readonly #admitted: Admitted;
   readonly #identity: RequestIdentity;
@@ -69,8 +69,8 @@
   readonly #retryPermit: RetryPermit;
   readonly #end: RequestEnd;
   #expired = false;
-  /** Whether this VM has given up a run that its server had not ended. */
-  #leftRunning = false;
+  /** Whether this VM has aborted an attempt that its server was still running. */
+  #abortedRunning = false;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -97,7 +97,7 @@
       streaming: route.kind === "stream",
     });
     this.#limitMs = Math.min(
-      head.waitMs ?? DEFAULT_WAIT_MS,
+      head.waitMs ?? DEFAULT_TIME_LIMIT_MS,
       route.timeLimitMs ?? Infinity,
     );
     this.#models = new ModelChoice(deps.modelPace, { head, route });
@@ -107,7 +107,7 @@
       summary: () => this.summary(),
     });
     this.#stream = new StreamRelay(exchange);
-    this.#sender = new TrySender(deps, {
+    this.#sender = new AttemptSender(deps, {
       exchange,
       body,
       service: this.#service,
@@ -116,7 +116,7 @@
     });
   }
 
-  /** What decided the request, for the log. */
+  /** Inputs of the routing decisions and the attempts made, for the log. */
   summary(): RunSummary {
     const { route, account, table, confirmedAgeMs } = this.#admitted;
     return {
@@ -127,16 +127,16 @@
       configurationVersion: table.version,
       confirmedAgeMs,
       limitMs: this.#limitMs,
-      retryBudget: this.#retryPermit.state(),
-      tries: this.#sender.tries,
+      retryBudget: this.#retryPermit.budgetState(),
+      tries: this.#sender.attempts,
     };
   }
 
-  /** Runs to the end; the caller has its answer then, or is gone. */
+  /** Runs the request; resolves when its response has ended or its caller has disconnected. */
   async run(): Promise<void> {
     this.#retryPermit.countRequest();
     this.#timer = setTimeout(() => this.#expire(), this.#leftMs());
-    this.#exchange.onGone(() => this.#sender.giveUp());
+    this.#exchange.onDisconnect(() => this.#sender.abort());
     try {
       while (await this.#step() === "again");
     } finally {
@@ -145,103 +145,114 @@
     }
   }
 
-  async #step(): Promise<Next> {
-    if (this.#exchange.isOver) return "done";
-    if (this.#expired || this.#leftMs() < MIN_WAIT_MS) return this.#timeUp();
-    const standing = await this.#crashes.settled(() => this.#isOver);
-    if (standing.tag === "quarantined") {
-      return this.#finish(this.#tally.crashRefusal(standing));
+  async #step(): Promise<StepResult> {
+    if (this.#exchange.isFinished) return "done";
+    if (this.#expired || this.#leftMs() < MIN_LEFT_MS) return this.#timeUp();
+    const crashState = await this.#crashes.settled(() => this.#isFinished);
+    if (crashState.tag === "quarantined") {
+      return this.#refuse(this.#tally.crashRefusal(crashState));
     }
-    if (this.#isOver) return "again";
-    const server = this.#sender.choose(this.#admitted, this.#choice);
-    if (server === undefined) return await this.#noChoice();
-    if (!this.#acquireRetry()) return this.#noFurther(NO_RETRY);
-    const outcome = await this.#try(server);
-    const record = this.#sender.tries.at(-1);
+    if (this.#isFinished) return "again";
+    const server = this.#sender.chooseServer(
+      this.#admitted,
+      this.#choiceOptions,
+    );
+    if (server === undefined) return await this.#borrowOrWait();
+    if (!this.#acquirePermit()) return this.#waitOrRefuse(BUDGET_EXHAUSTED);
+    const outcome = await this.#sendAttempt(server);
+    const record = this.#sender.attempts.at(-1);
     await this.#crashes.tryEnded(outcome, { server, record });
-    return await this.#after(outcome, server);
+    return await this.#handleOutcome(outcome, server);
   }
 
-  /** Goes on at a server with a limit, if another VM lends a place there. */
-  async #noChoice(): Promise<Next> {
-    const lent = await this.#sender.borrow(this.#admitted, this.#choice);
-    if (lent) return "again";
-    // Time passes between two looks at the servers. Asked for the wait first, one that opens
-    // meanwhile is found by the choice; the other way round it would be seen by neither.
+  /** Borrows rate limit capacity from another VM, or else waits or refuses the request. */
+  async #borrowOrWait(): Promise<StepResult> {
+    const borrowed = await this.#sender.borrowCapacity(
+      this.#admitted,
+      this.#choiceOptions,
+    );
+    if (borrowed) return "again";
+    // The wait is computed before the choice: a server that opens between the two is then found by
+    // the choice. In the opposite order neither of them would see it.
     const opensInMs = this.#opensInMs();
-    const server = this.#sender.choose(this.#admitted, this.#choice);
-    return server === undefined ? await this.#noServer({ opensInMs }) : "again";
+    const server = this.#sender.chooseServer(
+      this.#admitted,
+      this.#choiceOptions,
+    );
+    return server === undefined
+      ? await this.#handleNoServer({ opensInMs })
+      : "again";
   }
 
-  /** Ends a request, or has it wait, that may not be sent to a further server now. */
-  #noFurther(reason?: string): Promise<Next> {
-    return this.#noServer({ reason, opensInMs: this.#opensInMs() });
+  /** Waits or refuses the request, as it may not be sent to another server now. */
+  #waitOrRefuse(reason?: string): Promise<StepResult> {
+    return this.#handleNoServer({ reason, opensInMs: this.#opensInMs() });
   }
 
   #opensInMs(): number | undefined {
     return this.#sender.opensInMs(this.#admitted);
   }
 
-  /** Whether there is nothing more to be done for the caller. */
-  get #isOver(): boolean {
-    return this.#exchange.isOver || this.#expired;
+  /** Whether the response has ended or the request has expired. */
+  get #isFinished(): boolean {
+    return this.#exchange.isFinished || this.#expired;
   }
 
-  get #choice() {
+  get #choiceOptions() {
     return {
-      mayComeBack: this.#tally.runs > 0,
-      apart: this.#crashes.isSuspected,
+      allowTried: this.#tally.runs > 0,
+      isolate: this.#crashes.isSuspected,
     };
   }
 
-  /** Whether the shared budget lets the request be sent once more. */
-  #acquireRetry(): boolean {
+  /** Acquires a permit from the retry budget if the next attempt is a retry. */
+  #acquirePermit(): boolean {
     return !this.#sender.wasSent || this.#retryPermit.acquire();
   }
 
-  #try(server: ServerRecord): Promise<TryOutcome> {
+  #sendAttempt(server: ServerRecord): Promise<TryOutcome> {
     return this.#sender.send(server, {
       admitted: this.#admitted,
-      apart: this.#crashes.isSuspected,
-      leftMs: this.#leftMs(),
-      judge: (head) => this.#judge(head),
+      isolate: this.#crashes.isSuspected,
+      remainingMs: this.#leftMs(),
+      onHead: (head) => this.#decideByHead(head),
       permit: this.#retryPermit,
       isRetry: this.#sender.wasSent,
       isExpired: () => this.#expired,
     });
   }
 
-  /** Called again and again while the request runs, to leave servers that it may not run at. */
+  /** Called periodically while the request runs; aborts quarantined or stalled attempts. */
   check(nowMs: number): void {
-    // A stream that has begun, and goes on, shows that the request does not crash its server.
-    const begun = this.#sender.hasBegun || !this.#crashes.isStream;
-    if (!begun && this.#crashes.isQuarantined) this.#sender.giveUp();
-    else this.#checkSilence(nowMs);
+    // A stream that has begun and continues shows that the request does not crash its server.
+    const begun = this.#sender.hasFirstByte || !this.#crashes.isStream;
+    if (!begun && this.#crashes.isQuarantined) this.#sender.abort();
+    else this.#checkStall(nowMs);
   }
 
-  #checkSilence(nowMs: number): void {
-    // The run under way counts as well.
+  #checkStall(nowMs: number): void {
+    // The current run counts as well.
     if (!this.#mayRetry(1)) return;
-    const reason = this.#sender.silence(this.#admitted, nowMs);
-    if (reason === undefined || !this.#hasOther()) return;
+    const reason = this.#sender.stallReason(this.#admitted, nowMs);
+    if (reason === undefined || !this.#canRetryElsewhere()) return;
     if (!this.#retryPermit.acquire()) return;
-    this.#leftRunning = true;
-    this.#sender.leaveSilent(reason);
+    this.#abortedRunning = true;
+    this.#sender.abortStalled(reason);
   }
 
-  #judge(head: AnswerHead): HeadVerdict {
+  #decideByHead(head: AnswerHead): HeadVerdict {
     const { status, decoded } = head;
     const { route } = this.#admitted;
     if (status >= 300 || route.kind !== "stream") return "collect";
     if (this.#exchange.state === "begun") return "stream";
-    if (this.#wantsLarger(decoded.confidence)) return "turn_down";
+    if (this.#shouldEscalate(decoded.confidence)) return "turn_down";
     this.#exchange.beginStream(head);
     return "stream";
   }
 
-  #wantsLarger(confidence: number | undefined): boolean {
-    // A better answer costs a retry, which others may need to get one at all.
-    if (!this.#retryPermit.isSpare) return false;
+  #shouldEscalate(confidence: number | undefined): boolean {
+    // Escalation costs a retry, which other requests may need to get any response at all.
+    if (!this.#retryPermit.hasSpare) return false;
     const { route } = this.#admitted;
     return this.#models.wantsLarger({
       route,
@@ -253,7 +264,10 @@
     });
   }
 
-  #after(outcome: TryOutcome, server: ServerRecord): Next | Promise<Next> {
+  #handleOutcome(
+    outcome: TryOutcome,
+    server: ServerRecord,
+  ): StepResult | Promise<StepResult> {
     switch (outcome.tag) {
       case "given_up":
         this.#tally.ran();
@@ -261,116 +275,124 @@
       case "withheld":
         return "again";
       case "not_sent":
-        return this.#mayAskFurther() ? "again" : this.#noFurther();
+        return this.#mayTryAnother() ? "again" : this.#waitOrRefuse();
       case "not_run":
-        return this.#tally.notRun() ? "again" : this.#noFurther();
+        return this.#tally.notRun() ? "again" : this.#waitOrRefuse();
       case "misdirected":
         this.#deps.serverFollower.misdirected(server.instance);
         return "again";
       case "turned_down":
         return this.#escalate();
       case "answered":
-        return this.#answered(outcome);
+        return this.#handleAnswered(outcome);
       case "streamed":
-        return this.#streamed(outcome);
+        return this.#handleStreamed(outcome);
       case "broken":
-        return this.#brokenOff(outcome.reason);
+        return this.#handleBroken(outcome.reason);
       case "stream_broken":
-        return this.#resume(outcome.reason);
+        return this.#resumeStream(outcome.reason);
     }
   }
 
-  /** Whether to ask another server after one that could not be reached. */
-  #mayAskFurther(): boolean {
-    const tookMs = this.#sender.lastTryMs;
-    const hasSound = this.#sender.hasSound(this.#admitted, this.#choice);
+  /** Whether to try another server after one that could not be reached. */
+  #mayTryAnother(): boolean {
+    const tookMs = this.#sender.lastAttemptAgeMs;
+    const hasSound = this.#sender.hasHealthyServer(
+      this.#admitted,
+      this.#choiceOptions,
+    );
     return this.#tally.notSent({ tookMs, hasSound });
   }
 
-  #escalate(): Next {
+  #escalate(): StepResult {
     this.#tally.ran();
     this.#models.moveOn();
-    this.#sender.forgetTried();
+    this.#sender.resetTried();
     return "again";
   }
 
-  #answered({ head, body }: { head: AnswerHead; body: Buffer }): Next {
+  #handleAnswered(
+    { head, body }: { head: AnswerHead; body: Buffer },
+  ): StepResult {
     if (this.#exchange.state === "begun") {
-      return this.#resume(`status ${head.status}`);
+      return this.#resumeStream(`status ${head.status}`);
     }
     this.#tally.ran();
-    if (head.status >= 500 && this.#mayRetry() && this.#hasOther()) {
+    if (head.status >= 500 && this.#mayRetry() && this.#canRetryElsewhere()) {
       return "again";
     }
-    const whole = head.status < FIRST_ERROR_STATUS && head.decoded.framed;
-    if (whole) this.#crashes.endedWell();
-    this.#exchange.answer(head, body);
+    const complete = head.status < FIRST_ERROR_STATUS && head.decoded.framed;
+    if (complete) this.#crashes.endedWell();
+    this.#exchange.respond(head, body);
     return "done";
   }
 
-  #streamed({ framed }: { framed: boolean }): Next {
+  #handleStreamed({ framed }: { framed: boolean }): StepResult {
     if (this.#stream.end()) {
       if (framed) this.#crashes.endedWell();
       return "done";
     }
-    return this.#resume("stream ended within an event");
+    return this.#resumeStream("stream ended in the middle of an event");
   }
 
-  #brokenOff(reason: string): Next {
+  #handleBroken(reason: string): StepResult {
     this.#tally.ran();
     if (this.#mayRetry()) return "again";
-    return this.#finish({ tag: "answer_lost", reason });
+    return this.#refuse({ tag: "answer_lost", reason });
   }
 
-  /** Goes on with a stream on another server, inside the same answer. */
-  #resume(reason: string): Next {
+  /** Continues the stream on another server, within the same response to the caller. */
+  #resumeStream(reason: string): StepResult {
     this.#tally.ran();
-    this.#stream.restart();
+    this.#stream.dropPartialEvent();
     const { route } = this.#admitted;
     if (route.resumable && this.#tally.runs < route.maxRuns) return "again";
-    return this.#finish({ tag: "answer_lost", reason });
+    return this.#refuse({ tag: "answer_lost", reason });
   }
 
-  /** Whether a request that may have run may be sent again. */
-  #mayRetry(underWay = 0): boolean {
-    return this.#tally.mayRetry(this.#admitted.route, underWay);
+  /** Whether the route allows another run, in addition to `inProgress` ones not counted yet. */
+  #mayRetry(inProgress = 0): boolean {
+    return this.#tally.mayRetry(this.#admitted.route, inProgress);
   }
 
-  #hasOther(): boolean {
-    const other = this.#sender.chooseOther(this.#admitted, this.#choice);
+  #canRetryElsewhere(): boolean {
+    const other = this.#sender.chooseOtherServer(
+      this.#admitted,
+      this.#choiceOptions,
+    );
     return other !== undefined && this.#retryPermit.isAvailable;
   }
 
-  /** Waits for a place, or ends a request that no server takes. */
-  async #noServer(
+  /** Waits for a server to become available, or refuses the request. */
+  async #handleNoServer(
     { reason, opensInMs }: Pick<NoServer, "reason" | "opensInMs">,
-  ): Promise<Next> {
+  ): Promise<StepResult> {
     const waitMs = this.#end.noServer({
       reason,
       opensInMs,
       leftMs: this.#leftMs(),
-      leftRunning: this.#leftRunning,
+      leftRunning: this.#abortedRunning,
     });
     if (waitMs === undefined) return "done";
     await pause(waitMs);
     return "again";
   }
 
-  #timeUp(): Next {
+  #timeUp(): StepResult {
     this.#end.timeUp();
     return "done";
   }
 
-  #finish(refusal: Refusal): Next {
+  #refuse(refusal: Refusal): StepResult {
     this.#end.refuse(refusal);
     return "done";
   }
 
   #expire(): void {
     this.#expired = true;
-    if (this.#sender.isSent) this.#tally.leftUnderWay();
+    if (this.#sender.isCurrentSent) this.#tally.leftUnderWay();
     this.#timeUp();
-    this.#sender.giveUp();
+    this.#sender.abort();
   }
 
   #leftMs(): number {
--- a/src/gateway/request_server.ts
+++ b/src/gateway/request_server.ts
@@ -128,7 +128,7 @@
   async #serve(exchange: CallerExchange): Promise<void> {
     const { requestAdmission, requestLog, stopState } = this.#deps;
     const body = await exchange.readBody(this.#limits.maxBodyBytes);
-    if (body.ok) await exchange.lookForCaller();
+    if (body.ok) await exchange.detectDisconnect();
     const refusal = stopState.refusal(exchange.head);
     const admitted = requestAdmission.admit(exchange);
     const err = !body.ok
--- a/src/gateway/retry_permit.ts
+++ b/src/gateway/retry_permit.ts
@@ -1,4 +1,4 @@
-/** Leave for one request to be sent again, out of the service's retry budget. */
+/** Permits of one request for retries, out of the retry budget of its service. */
 
 import type { ServiceId } from "../core/ids.ts";
 import type {
@@ -13,7 +13,7 @@
   readonly clock: Clock;
 }
 
-/** Acquires permits for one request, one at a time. */
+/** Acquires and consumes retry permits for one request; holds at most one at a time. */
 export class RetryPermit {
   readonly #deps: Deps;
   readonly #service: ServiceId;
@@ -26,7 +26,7 @@
     this.#service = service;
   }
 
-  /** Counts the request, by which the budget grows. */
+  /** Counts the request towards the retries that the budget allows. */
   countRequest(): void {
     const { retryBudget, clock } = this.#deps;
     retryBudget.countRequest(this.#service, clock.monotonicMs());
@@ -34,24 +34,24 @@
 
   /** Whether a permit is held or can be acquired. */
   get isAvailable(): boolean {
-    return this.#isHeld || this.state().left >= 1;
+    return this.#isHeld || this.budgetState().left >= 1;
   }
 
-  /** Whether a permit is there that no request needs whose answer would be lost without it. */
-  get isSpare(): boolean {
-    return this.state().spare >= 1;
+  /** Whether a permit is left beyond those reserved for requests that would lose their response. */
+  get hasSpare(): boolean {
+    return this.budgetState().spare >= 1;
   }
 
-  /** What the budget of the service stands at. */
-  state(): RetryBudgetState {
+  /** Current state of the retry budget of the service. */
+  budgetState(): RetryBudgetState {
     const { retryBudget, clock } = this.#deps;
     return retryBudget.state(this.#service, clock.monotonicMs());
   }
 
   /**
-   * Holds a permit, the same one if one is held; returns whether it could. An attempt under way
-   * is given up only for a permit that is held: many streams of one server pause together, and all
-   * but the first would find the budget spent.
+   * Acquires a permit unless one is already held; returns whether one is held now. An attempt in
+   * progress is aborted only while its retry holds a permit: many streams of one server stall at
+   * the same time, and all but the first would find the budget exhausted when they retry.
    */
   acquire(): boolean {
     const { retryBudget, clock } = this.#deps;
@@ -59,8 +59,8 @@
     return this.#isHeld;
   }
 
-  /** Uses up the permit as the first byte is written; returns whether the budget still bears it. */
-  send(): boolean {
+  /** Consumes the held permit as the first byte is written; returns whether it may be sent. */
+  consume(): boolean {
     if (!this.#isHeld) return false;
     const { retryBudget, clock } = this.#deps;
     this.#isHeld = false;
@@ -69,10 +69,10 @@
     return retry !== undefined;
   }
 
-  /** Notes that one more attempt of the request has arrived, or can't arrive any more. */
+  /** Records that one more attempt of the request has arrived, or can no longer arrive. */
   attemptArrived(): void {
     this.#arrived += 1;
-    // Servers count all but the first to arrive, whichever attempt that is.
+    // Servers count each arrival after the first as a retry, in whatever order attempts were sent.
     if (this.#arrived === 1) return;
     const retry = this.#sent.shift();
     if (retry === undefined) return;
@@ -80,7 +80,7 @@
     retryBudget.arrived(retry, clock.monotonicMs());
   }
 
-  /** Gives back a permit that is held. */
+  /** Returns the permit to the budget, if one is held. */
   release(): void {
     if (this.#isHeld) this.#deps.retryBudget.release(this.#service);
     this.#isHeld = false;
--- a/src/gateway/retry_permit_test.ts
+++ b/src/gateway/retry_permit_test.ts
@@ -17,7 +17,7 @@
 
 beforeEach(() => {
   nowMs = 1_000;
-  // Enough for one retry: less than half of the allowance is used.
+  // Allows one retry: the budget uses less than half of the allowance of 3.
   const bounds = { ratio: 0, windowMs: WINDOW_MS, allowance: 3 };
   retryBudget = new RetryBudget(bounds, {
     startedMs: -Infinity,
@@ -30,21 +30,21 @@
     const one = permit();
     assert.equal(one.acquire(), true);
     assert.equal(one.acquire(), true);
-    assert.equal(one.send(), true);
-    assert.equal(one.send(), false);
+    assert.equal(one.consume(), true);
+    assert.equal(one.consume(), false);
     assert.equal(one.acquire(), false);
   });
 
-  it("should leave others nothing of what it holds", () => {
+  it("should not be available to other requests while it is held", () => {
     const one = permit();
     one.acquire();
     assert.equal(permit().acquire(), false);
     assert.equal(permit().isAvailable, false);
     assert.equal(one.isAvailable, true);
-    assert.equal(one.send(), true);
+    assert.equal(one.consume(), true);
   });
 
-  it("should be there for others once it is given back", () => {
+  it("should be available to other requests once it is released", () => {
     const one = permit();
     one.acquire();
     one.release();
@@ -54,17 +54,17 @@
     assert.equal(permit().acquire(), false);
   });
 
-  it("should hold its place until it is sent, however long it waits", () => {
+  it("should stay reserved until it is consumed, even beyond the window", () => {
     const waiting = permit();
     assert.equal(waiting.acquire(), true);
     nowMs += WINDOW_MS + 1;
     assert.equal(permit().acquire(), false);
-    assert.equal(waiting.send(), true);
+    assert.equal(waiting.consume(), true);
     nowMs += WINDOW_MS - 1;
     assert.equal(permit().acquire(), false);
   });
 
-  it("should not be used where what it was acquired by is forgotten", () => {
+  it("should not be consumed once the requests that earned it have left the window", () => {
     const bounds = { ratio: 0.9, windowMs: WINDOW_MS, allowance: 0 };
     retryBudget = new RetryBudget(bounds, { startedMs: 0, vms: () => 1 });
     for (const atMs of [0, 300, 600, 900]) retryBudget.heartbeat(atMs);
@@ -72,6 +72,6 @@
     const waiting = permit();
     assert.equal(waiting.acquire(), true);
     nowMs += WINDOW_MS + 1;
-    assert.equal(waiting.send(), false);
+    assert.equal(waiting.consume(), false);
   });
 });
--- a/src/gateway/run_summary.ts
+++ b/src/gateway/run_summary.ts
@@ -3,7 +3,7 @@
 import type { AccountId, RouteId, ServiceId } from "../core/ids.ts";
 import type { RetryBudgetState } from "../core/limits/retry_budget.ts";
 import type { RequestIdentity } from "./request_identity.ts";
-import type { TryRecord } from "./try_record.ts";
+import type { AttemptRecord } from "./attempt_record.ts";
 
 /** Inputs and tries of one request. */
 export interface RunSummary {
@@ -21,5 +21,5 @@
   readonly limitMs: number;
   /** What the retry budget of the service stood at. */
   readonly retryBudget: RetryBudgetState;
-  readonly tries: readonly TryRecord[];
+  readonly tries: readonly AttemptRecord[];
 }
--- a/src/gateway/stream_relay.ts
+++ b/src/gateway/stream_relay.ts
@@ -1,10 +1,10 @@
-/** Passes a stream on to its caller by whole events, from one server or several. */
+/** Forwards an event stream to the caller in whole events, from one server or several in turn. */
 
 import type { Buffer } from "node:buffer";
 import { EventSplitter } from "../backends/event_splitter.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
 
-/** Knows after which event the stream goes on. */
+/** Forwards complete events and tracks the ID of the last one, after which a retry resumes. */
 export class StreamRelay {
   readonly #exchange: CallerExchange;
   #splitter = new EventSplitter();
@@ -15,30 +15,30 @@
     this.#lastEvent = exchange.head.lastEvent;
   }
 
-  /** Last event that the caller has; undefined before the first. */
+  /** ID of the last event that the caller has; undefined if it has none. */
   get lastEvent(): string | undefined {
     return this.#lastEvent;
   }
 
-  /** Passes on what is whole; returns false while the caller does not keep up. */
+  /** Forwards the events that are complete; returns false while the caller applies backpressure. */
   write(chunk: Buffer, onDrain: () => void): boolean {
-    const whole = this.#splitter.push(chunk);
-    if (whole === undefined) return true;
-    this.#lastEvent = whole.lastId ?? this.#lastEvent;
-    if (this.#exchange.write(whole.bytes)) return true;
+    const complete = this.#splitter.push(chunk);
+    if (complete === undefined) return true;
+    this.#lastEvent = complete.lastId ?? this.#lastEvent;
+    if (this.#exchange.write(complete.bytes)) return true;
     this.#exchange.onDrain(onDrain);
     return false;
   }
 
-  /** Ends the stream; returns false where its last event was cut short. */
+  /** Ends the stream; returns false if its last event is incomplete. */
   end(): boolean {
     if (this.#splitter.pendingBytes > 0) return false;
     this.#exchange.endStream();
     return true;
   }
 
-  /** Forgets a part of an event, before another server goes on. */
-  restart(): void {
+  /** Drops a partial event before another server continues the stream. */
+  dropPartialEvent(): void {
     this.#splitter = new EventSplitter();
   }
 }
