--- a/src/gateway/try_silence_test.ts
+++ b/src/gateway/attempt_stall_detector_test.ts
@@ -1,6 +1,7 @@
 /**
- * Found by reading: a run was left only when its server fell silent, although the list had said
- * meanwhile that the server had started again under its id, and so runs nothing of before.
+ * Guards against attempts that wait for a server that has restarted. They ended only when the
+ * server stopped sending bytes, although the server list already showed that it had restarted
+ * under the same ID and so no longer ran their requests.
  */
 
 import assert from "node:assert/strict";
@@ -13,67 +14,67 @@
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerGate } from "./server_gate.ts";
 import type { ServerNoticeHandler } from "./server_notice_handler.ts";
-import { newTryRecord } from "./try_record.ts";
-import { TrySilence } from "./try_silence.ts";
+import { createAttemptRecord } from "./attempt_record.ts";
+import { AttemptStallDetector } from "./attempt_stall_detector.ts";
 
 const SERVER = serverRecord("i-1", { bornMs: 5 });
 const SENT_MS = 1_000;
-const RECORD = newTryRecord(SERVER, {
+const RECORD = createAttemptRecord(SERVER, {
   model: undefined,
   startedMs: SENT_MS,
   expectedMs: 10_000,
 });
 const ROUTE = { id: "r-1" as RouteId, targetMs: undefined } as Route;
-const WAITING = {
+const PENDING = {
   server: SERVER,
   record: RECORD,
   route: ROUTE,
-  hasEngine: true,
+  isModelServer: true,
 };
 
 let serverDirectory: ServerDirectory;
 let askableMs: number | undefined;
-let asked: number;
-let silence: TrySilence;
+let probes: number;
+let detector: AttemptStallDetector;
 
 beforeEach(() => {
   serverDirectory = new ServerDirectory();
   serverDirectory.put(SERVER);
   askableMs = undefined;
-  asked = 0;
-  silence = new TrySilence({
+  probes = 0;
+  detector = new AttemptStallDetector({
     serverDirectory,
     silenceWatch: new SilenceWatch(),
-    serverProbe: { ask: () => void (asked += 1) } as unknown as ServerProbe,
+    serverProbe: { ask: () => void (probes += 1) } as unknown as ServerProbe,
     serverNoticeHandler: {} as ServerNoticeHandler,
-    attemptAcks: { probed: () => {} },
+    attemptAcks: { probeAnswered: () => {} },
     serverGate: { askableMs: () => askableMs } as unknown as ServerGate,
   });
 });
 
-describe("a try whose server says nothing", () => {
-  it("should be left at once where its server has started again", () => {
+describe("attempt whose server sends nothing", () => {
+  it("should be stalled as soon as its server has restarted", () => {
     const nowMs = SENT_MS + 10;
-    assert.equal(silence.judge(WAITING, nowMs), undefined);
+    assert.equal(detector.check(PENDING, nowMs), undefined);
     serverDirectory.put({ ...SERVER, bornMs: undefined });
     serverDirectory.put({ ...SERVER, state: "draining" });
-    assert.equal(silence.judge(WAITING, nowMs), undefined);
+    assert.equal(detector.check(PENDING, nowMs), undefined);
     serverDirectory.put({ ...SERVER, bornMs: 6 });
-    assert.equal(silence.judge(WAITING, nowMs), "server_restarted");
+    assert.equal(detector.check(PENDING, nowMs), "server_restarted");
   });
 
-  it("should have its server asked, but not while that rests", () => {
+  it("should have its server probed, but not during backoff", () => {
     askableMs = SENT_MS + 3_000;
-    assert.equal(silence.judge(WAITING, SENT_MS + 2_900), undefined);
-    assert.equal(asked, 0);
-    silence.judge(WAITING, SENT_MS + 3_500);
-    assert.equal(asked, 1);
+    assert.equal(detector.check(PENDING, SENT_MS + 2_900), undefined);
+    assert.equal(probes, 0);
+    detector.check(PENDING, SENT_MS + 3_500);
+    assert.equal(probes, 1);
   });
 
-  it("should not be left for want of answers to what its server is not asked", () => {
-    // It names a limit, and may count what it is asked.
+  it("should not be stalled for missing probe responses when probes are not allowed", () => {
+    // The server has stated a rate limit, and may count probes against it.
     askableMs = Infinity;
-    assert.equal(silence.judge(WAITING, SENT_MS + 5_000), undefined);
-    assert.equal(asked, 0);
+    assert.equal(detector.check(PENDING, SENT_MS + 5_000), undefined);
+    assert.equal(probes, 0);
   });
 });
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -79,8 +79,8 @@
 import { ServerSelector } from "./server_selector.ts";
 import { StopState } from "./stop_state.ts";
 import { SuspectPlaces } from "./suspect_places.ts";
-import { TryObserver } from "./try_observer.ts";
-import { TrySilence } from "./try_silence.ts";
+import { AttemptObserver } from "./attempt_observer.ts";
+import { AttemptStallDetector } from "./attempt_stall_detector.ts";
 import { TrialController } from "./trial_controller.ts";
 import { WorkPredictor } from "./work_predictor.ts";
 
@@ -295,8 +295,8 @@
     serverNoticeHandler: singleton(ServerNoticeHandler),
     serverSelector: singleton(ServerSelector),
     requestAdmission: singleton(RequestAdmission),
-    tryObserver: singleton(TryObserver),
-    trySilence: singleton(TrySilence),
+    attemptObserver: singleton(AttemptObserver),
+    attemptStallDetector: singleton(AttemptStallDetector),
     attemptAcks: singleton(AttemptAcks),
     requestLog: singleton(RequestLog),
     requestServer: singleton(RequestServer),
