--- a/bench/choice_cost.ts
+++ b/bench/choice_cost.ts
@@ -46,11 +46,11 @@
       sharedMs: SHARED_MS,
       dataCentre: "dc-0" as DataCentreId,
       tried: new Set(),
-      limited: [],
+      rateLimited: [],
       nowMs: 0,
     });
     if (!held || chosen === undefined) return;
-    promptHolders.sent({ key: affinity, instance: chosen.instance }, 0);
+    promptHolders.recordSent({ key: affinity, instance: chosen.instance }, 0);
   };
   for (let n = 0; n < CHOICES; n++) choose(n);
   const startedMs = performance.now();
--- a/src/core/membership/probe_order.ts
+++ b/src/core/membership/probe_order.ts
@@ -1,15 +1,15 @@
 /** Order in which other entry VMs are probed. */
 
 import type { EntryId } from "../ids.ts";
-import type { Chance } from "../routing/server_chooser.ts";
+import type { RandomSource } from "../routing/server_chooser.ts";
 import type { Member } from "./member.ts";
 
 /** Goes through all entry VMs in an order drawn by chance, then draws a new one. */
 export class ProbeOrder {
-  readonly #chance: Chance;
+  readonly #chance: RandomSource;
   #queue: EntryId[] = [];
 
-  constructor(chance: Chance) {
+  constructor(chance: RandomSource) {
     this.#chance = chance;
   }
 
--- a/src/core/routing/affinity_choice.ts
+++ b/src/core/routing/affinity_choice.ts
@@ -1,4 +1,4 @@
-/** Chooses a backend server: one that is likely to hold the prompt, unless it is busy. */
+/** Selects a backend server: one that probably has the prompt in its cache, unless it is busy. */
 
 import type { DataCentreId, InstanceId } from "../ids.ts";
 import type { ServerLoads } from "../servers/server_loads.ts";
@@ -8,49 +8,52 @@
 import type { UnitHash } from "./version_choice.ts";
 
 /**
- * Part of the cost of reading shared parts that the first and second server of a prompt
- * on the ring pay while none is known to hold them. Where VMs tell each other of holders,
- * only those that have sent the prompt within the last second are unknown.
+ * Fraction of the cache miss cost that is charged to the first and second server of a prompt on the
+ * ring while no server is known to have its shared parts cached. If VMs advertise prompt holders to
+ * each other, only servers that were sent the prompt within the last second are unknown.
  */
-const RING_PARTS_IF_TOLD: readonly number[] = [0.7, 0.85];
-/** The same where VMs do not: what others sent is most likely on the first two. */
-const RING_PARTS: readonly number[] = [0, 0.5];
+const SHARED_RING_MISS_FRACTIONS: readonly number[] = [0.7, 0.85];
 /**
- * What reading shared parts again counts for, beyond its own time: it also holds up all
- * that runs on the server.
+ * The same if VMs do not advertise holders: a prompt sent by other VMs is most likely cached on the
+ * first two servers.
  */
-const MISSING_FACTOR = 4;
+const UNSHARED_RING_MISS_FRACTIONS: readonly number[] = [0, 0.5];
 /**
- * Servers that are looked at besides those that hold the prompt. All VMs hear of the least
- * busy server at the same time; if each looked at all servers, all would turn to that one.
+ * Weight of the time that processing uncached shared parts takes. It exceeds 1 because the
+ * processing also delays all other requests on the server.
  */
-const DRAWN_SERVERS = 2;
-/** Work by which a server in another data centre must be less busy to be taken. */
-const OTHER_DATA_CENTRE_MS = 15;
-/** Work that a failure rate of 1 counts as, in milliseconds. */
+const CACHE_MISS_WEIGHT = 4;
+/**
+ * Number of random servers considered besides those that may have the prompt cached. All VMs learn
+ * of the least busy server at the same time; if each considered all servers, all would choose it.
+ */
+const RANDOM_CANDIDATES = 2;
+/** Extra cost of a server in another data centre, in milliseconds of work. */
+const OTHER_DATA_CENTRE_PENALTY_MS = 15;
+/** Cost of a failure rate of 1, in milliseconds of work. */
 const FAILURE_PENALTY_MS = 400;
 
-/** What the choice is made for. */
+/** Request and candidate servers of a selection. */
 export interface ChoiceInput {
   readonly candidates: readonly ServerRecord[];
-  /** What requests have in common that gain from the same server, if anything. */
+  /** Key shared by requests that benefit from the same server, if any. */
   readonly affinity: string | undefined;
-  /** What a server pays that does not hold the shared parts, in milliseconds. */
+  /** Time to process the shared prompt parts where they are not cached, in milliseconds. */
   readonly sharedMs: number;
   readonly dataCentre: DataCentreId;
-  /** Servers that this request has been sent to already. */
+  /** Servers that this request has already been sent to. */
   readonly tried: ReadonlySet<InstanceId>;
-  /** Candidates that take only so much from all VMs, of which this one has a part. */
-  readonly limited: readonly ServerRecord[];
+  /** Candidates that limit their request rate across all VMs. */
+  readonly rateLimited: readonly ServerRecord[];
   readonly nowMs: number;
 }
 
-/** Chooses among the servers of a service. */
+/** Selects the server with the lowest estimated cost among those of a service. */
 export class AffinityChoice {
   readonly #loads: ServerLoads;
   readonly #promptHolders: PromptHolders;
   readonly #ring: HashRing;
-  readonly #chance: () => number;
+  readonly #random: () => number;
 
   constructor(
     { serverLoads, promptHolders, unitHash, chance }: {
@@ -63,18 +66,18 @@
     this.#loads = serverLoads;
     this.#promptHolders = promptHolders;
     this.#ring = new HashRing(unitHash);
-    this.#chance = chance;
+    this.#random = chance;
   }
 
-  /** Returns the server to use; undefined when there is none that was not tried. */
+  /** Returns the server to use, or undefined if all candidates have been tried. */
   choose(input: ChoiceInput): ServerRecord | undefined {
     const untried = input.candidates.filter((server) =>
       !input.tried.has(server.instance)
     );
-    const sound = untried.filter((server) =>
+    const healthy = untried.filter((server) =>
       !this.#loads.isEjected(server.instance, input.nowMs)
     );
-    const servers = sound.length > 0 ? sound : untried;
+    const servers = healthy.length > 0 ? healthy : untried;
     return this.#cheapest(servers, input);
   }
 
@@ -82,23 +85,25 @@
     servers: readonly ServerRecord[],
     input: ChoiceInput,
   ): ServerRecord | undefined {
-    const missing = this.#missingParts(servers, input);
-    const looked = missing === undefined ? servers : [
-      ...missing.keys(),
-      // Few VMs may use such a server: drawn as seldom as others it would have nothing to do.
-      ...input.limited.filter((server) => servers.includes(server)),
-      ...this.#draw(servers, DRAWN_SERVERS),
+    const missFractions = this.#missFractions(servers, input);
+    const considered = missFractions === undefined ? servers : [
+      ...missFractions.keys(),
+      // Few VMs may send to such a server; if drawn as rarely as others, it would stay idle.
+      ...input.rateLimited.filter((server) => servers.includes(server)),
+      ...this.#draw(servers, RANDOM_CANDIDATES),
     ];
     let best: ServerRecord | undefined;
     let bestCost = Infinity;
-    for (const server of looked) {
-      const away = server.dataCentre === input.dataCentre
+    for (const server of considered) {
+      const penalty = server.dataCentre === input.dataCentre
+        ? 0
+        : OTHER_DATA_CENTRE_PENALTY_MS;
+      const missFraction = missFractions === undefined
         ? 0
-        : OTHER_DATA_CENTRE_MS;
-      const part = missing === undefined ? 0 : missing.get(server) ?? 1;
-      // Chance breaks ties, so that VMs do not all turn to the same server.
-      const cost = this.#work(server, input.nowMs) + away +
-        MISSING_FACTOR * part * input.sharedMs + this.#chance();
+        : missFractions.get(server) ?? 1;
+      // Random tie-breaking keeps VMs from all choosing the same server.
+      const cost = this.#work(server, input.nowMs) + penalty +
+        CACHE_MISS_WEIGHT * missFraction * input.sharedMs + this.#random();
       if (cost >= bestCost) continue;
       best = server;
       bestCost = cost;
@@ -106,36 +111,41 @@
     return best;
   }
 
-  /** Part of the shared parts that servers lack which may hold them; others lack all. */
-  #missingParts(
+  /**
+   * Assumed fraction of the shared parts that is not cached, for servers that may have them cached.
+   * All other servers count as having none of them. Undefined for requests without an affinity key.
+   */
+  #missFractions(
     servers: readonly ServerRecord[],
     { affinity, nowMs }: ChoiceInput,
   ): ReadonlyMap<ServerRecord, number> | undefined {
     if (affinity === undefined) return undefined;
-    const known = this.#promptHolders.of(affinity, nowMs);
-    const parts = new Map<ServerRecord, number>();
+    const holders = this.#promptHolders.holdersOf(affinity, nowMs);
+    const misses = new Map<ServerRecord, number>();
     for (const server of servers) {
-      if (known.has(server.instance)) parts.set(server, 0);
+      if (holders.has(server.instance)) misses.set(server, 0);
     }
     const { shared } = this.#promptHolders;
-    if (shared && parts.size > 0) return parts;
-    const ringParts = shared ? RING_PARTS_IF_TOLD : RING_PARTS;
-    // The same on every VM.
+    if (shared && misses.size > 0) return misses;
+    const ringMisses = shared
+      ? SHARED_RING_MISS_FRACTIONS
+      : UNSHARED_RING_MISS_FRACTIONS;
+    // Every VM finds the same servers.
     const nearest = this.#ring.nearest(servers, {
       key: affinity,
       idOf: ({ instance }) => instance,
-      count: ringParts.length,
+      count: ringMisses.length,
     });
-    nearest.forEach((server, at) => {
-      if (!parts.has(server)) parts.set(server, ringParts[at] ?? 1);
+    nearest.forEach((server, rank) => {
+      if (!misses.has(server)) misses.set(server, ringMisses[rank] ?? 1);
     });
-    return parts;
+    return misses;
   }
 
   #draw(servers: readonly ServerRecord[], count: number): ServerRecord[] {
     const drawn: ServerRecord[] = [];
     for (let n = 0; n < count; n++) {
-      const server = servers[Math.floor(this.#chance() * servers.length)];
+      const server = servers[Math.floor(this.#random() * servers.length)];
       if (server !== undefined) drawn.push(server);
     }
     return drawn;
--- a/src/core/routing/affinity_choice_test.ts
+++ b/src/core/routing/affinity_choice_test.ts
@@ -41,7 +41,7 @@
     sharedMs: 40,
     dataCentre: NORTH,
     tried: new Set(),
-    limited: [],
+    rateLimited: [],
     nowMs: 0,
     ...patch,
   });
@@ -94,7 +94,7 @@
   it("should go to the server that holds the prompt, wherever the ring has it", () => {
     const holder = SERVERS.find(({ instance }) => instance !== choose());
     assert.ok(holder);
-    holders.sent({ key: "part", instance: holder.instance }, 0);
+    holders.recordSent({ key: "part", instance: holder.instance }, 0);
     holders.setShared(true);
     assert.equal(choose(), holder.instance);
   });
@@ -104,7 +104,7 @@
     const first = choose();
     loads.begin(first as InstanceId, 30);
     assert.notEqual(choose(), first);
-    holders.sent({ key: "part", instance: first as InstanceId }, 0);
+    holders.recordSent({ key: "part", instance: first as InstanceId }, 0);
     assert.equal(choose(), first);
   });
 
--- a/src/core/routing/cold_admission.ts
+++ b/src/core/routing/cold_admission.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds what a cold backend server gets from all VMs together, without talking for each
- * request: a cold server belongs to a few VMs by hash, and each of these may send it a fixed
- * part of what it bears. The others send it nothing.
+ * Bounds the request rate to a cold backend server across all VMs, without coordinating on each
+ * request. A hash assigns each cold server to a few owner VMs, and each owner may send it a fixed
+ * share of the rate that it can sustain. Other VMs send it nothing.
  */
 
 import type { EntryId, InstanceId } from "../ids.ts";
@@ -10,31 +10,31 @@
 import type { UnitHash } from "./version_choice.ts";
 
 /**
- * VMs that share a cold server. Each that others wrongly take for gone, or that is not known
- * yet to all, adds one part; with six, a server gets twice what it bears only when six VMs
- * disagree with the rest. More would leave parts of less than one request a second.
+ * Number of VMs that own a cold server. Each VM that others wrongly consider lost, or that is not
+ * yet known to all, adds one share. With six owners a server gets twice its sustainable rate only
+ * if six VMs disagree with the rest; with more, a share would be below one request per second.
  */
-const OWNERS = 6;
+const MAX_OWNERS = 6;
 /**
- * Time over which a VM's part is counted, in milliseconds: a second, and what requests of one
- * VM differ by on their way.
+ * Window over which the requests of a VM are counted against its share, in milliseconds: one second
+ * plus the variation in the transit time of its requests.
  */
-const WINDOW_MS = 1_200;
+const COUNT_WINDOW_MS = 1_200;
 
-/** VMs that this one knows. */
+/** VMs known to this one. */
 export interface KnownVms {
   readonly self: { readonly id: EntryId };
-  /** This VM and all others, those included that were lost lately. */
+  /** Returns this VM and all others, including recently lost ones. */
   everyone(): readonly { readonly id: EntryId }[];
 }
 
-/** What is known of the fleet as a whole. */
+/** State of the fleet as a whole. */
 export interface FleetView {
-  /** Whether there may be other VMs, none of which is heard. */
+  /** Whether other VMs may exist but none of them is reachable. */
   readonly isAlone: boolean;
 }
 
-/** Says which cold servers this VM may send a request now. */
+/** Decides whether this VM may send a request to a cold server. */
 export class ColdAdmission {
   readonly #fleet: FleetView;
   readonly #owners: ServerOwners;
@@ -58,17 +58,17 @@
     });
   }
 
-  /** Whether this VM may send a cold server one request more. */
-  mayTake(
+  /** Whether this VM may send one more request to a cold server now. */
+  canSend(
     instance: InstanceId,
     { warmup, nowMs }: { warmup: Warmup; nowMs: number },
   ): boolean {
-    // Among VMs that do not hear each other, each would be an owner of all servers.
+    // VMs that cannot reach each other would each regard themselves as owner of all servers.
     if (this.#fleet.isAlone) return false;
     const { requestsPerSecond } = warmup;
-    const part = Math.max(1, Math.floor(requestsPerSecond / OWNERS));
-    if (this.#sentLately(instance, nowMs).length >= part) return false;
-    const owners = Math.min(OWNERS, Math.floor(requestsPerSecond / part));
+    const share = Math.max(1, Math.floor(requestsPerSecond / MAX_OWNERS));
+    if (this.#recentSends(instance, nowMs).length >= share) return false;
+    const owners = Math.min(MAX_OWNERS, Math.floor(requestsPerSecond / share));
     return this.#owners.isOwner(instance, {
       count: Math.max(1, owners),
       nowMs,
@@ -76,18 +76,18 @@
   }
 
   /** Counts a request that is about to be sent to a cold server. */
-  sent(instance: InstanceId, nowMs: number): void {
-    this.#sentMs.set(instance, [...this.#sentLately(instance, nowMs), nowMs]);
+  recordSent(instance: InstanceId, nowMs: number): void {
+    this.#sentMs.set(instance, [...this.#recentSends(instance, nowMs), nowMs]);
   }
 
-  /** Forgets a server that is warm or gone. */
-  forget(instance: InstanceId): void {
-    this.#owners.forget(instance);
+  /** Drops the state of a server that has warmed up or no longer exists. */
+  remove(instance: InstanceId): void {
+    this.#owners.remove(instance);
     this.#sentMs.delete(instance);
   }
 
-  #sentLately(instance: InstanceId, nowMs: number): number[] {
+  #recentSends(instance: InstanceId, nowMs: number): number[] {
     const sentMs = this.#sentMs.get(instance) ?? [];
-    return sentMs.filter((atMs) => nowMs - atMs < WINDOW_MS);
+    return sentMs.filter((atMs) => nowMs - atMs < COUNT_WINDOW_MS);
   }
 }
--- a/src/core/routing/cold_admission_test.ts
+++ b/src/core/routing/cold_admission_test.ts
@@ -62,8 +62,8 @@
       for (const offset of INSTANCES.keys()) {
         const server = (at + offset) % SERVERS;
         const instance = INSTANCES[server] as InstanceId;
-        if (!admission.mayTake(instance, { warmup: WARMUP, nowMs })) continue;
-        admission.sent(instance, nowMs);
+        if (!admission.canSend(instance, { warmup: WARMUP, nowMs })) continue;
+        admission.recordSent(instance, nowMs);
         sent[server]?.push(nowMs);
         break;
       }
@@ -143,7 +143,7 @@
   it("should give at least one request to a server that bears less than there are owners", () => {
     const slow = { durationMs: 3_000, requestsPerSecond: 2 };
     const takers = IDS.map((id) => vm(id)).filter((admission) =>
-      admission.mayTake(INSTANCES[0] as InstanceId, { warmup: slow, nowMs: 0 })
+      admission.canSend(INSTANCES[0] as InstanceId, { warmup: slow, nowMs: 0 })
     );
     assert.equal(takers.length, 2);
   });
--- a/src/core/routing/hash_ring.ts
+++ b/src/core/routing/hash_ring.ts
@@ -1,33 +1,33 @@
-/** Consistent hashing: how far servers stand from a key, the same on every VM. */
+/** Consistent hashing that gives the same result on every VM. */
 
 import type { UnitHash } from "./version_choice.ts";
 
-/** Points of each server by default: enough that few servers get much more than the mean of keys. */
-const POINTS = 24;
-/** Servers whose points are kept; more than there are at once. */
-const MOST_SERVERS = 4_096;
+/** Default points per server: enough that few servers get far more keys than the mean. */
+const POINTS_PER_SERVER = 24;
+/** Maximum number of servers whose points are cached; more than exist at the same time. */
+const MAX_CACHED_SERVERS = 4_096;
 
-/** A circle of length 1 on which keys and servers stand. */
+/** Ring of circumference 1 on which keys and the points of servers are placed by hash. */
 export class HashRing {
   readonly #unitHash: UnitHash;
-  readonly #pointCount: number;
+  readonly #pointsPerServer: number;
   readonly #points = new Map<string, readonly number[]>();
 
-  constructor(unitHash: UnitHash, { points = POINTS } = {}) {
+  constructor(unitHash: UnitHash, { points = POINTS_PER_SERVER } = {}) {
     this.#unitHash = unitHash;
-    this.#pointCount = points;
+    this.#pointsPerServer = points;
   }
 
-  /** The first servers that follow the key, nearest first. */
+  /** Returns the first `count` servers that follow the key on the ring, nearest first. */
   nearest<T>(servers: readonly T[], by: {
     readonly key: string;
     readonly idOf: (server: T) => string;
     readonly count: number;
   }): T[] {
-    const at = this.#unitHash(by.key);
+    const position = this.#unitHash(by.key);
     const nearest: { readonly server: T; readonly distance: number }[] = [];
     for (const server of servers) {
-      const distance = this.#distance(by.idOf(server), at);
+      const distance = this.#distance(by.idOf(server), position);
       const farthest = nearest.at(-1);
       const full = nearest.length === by.count;
       if (full && farthest !== undefined && distance >= farthest.distance) {
@@ -40,19 +40,19 @@
     return nearest.map(({ server }) => server);
   }
 
-  #distance(id: string, at: number): number {
+  #distance(id: string, position: number): number {
     const points = this.#pointsOf(id);
-    const next = points[firstFrom(points, at)] ?? points[0] ?? at;
-    return next >= at ? next - at : next - at + 1;
+    const next = points[lowerBound(points, position)] ?? points[0] ?? position;
+    return next >= position ? next - position : next - position + 1;
   }
 
-  /** Points of a server, in rising order. */
+  /** Points of a server, in ascending order. */
   #pointsOf(id: string): readonly number[] {
-    const known = this.#points.get(id);
-    if (known !== undefined) return known;
-    if (this.#points.size >= MOST_SERVERS) this.#points.clear();
+    const cached = this.#points.get(id);
+    if (cached !== undefined) return cached;
+    if (this.#points.size >= MAX_CACHED_SERVERS) this.#points.clear();
     const points = Array.from(
-      { length: this.#pointCount },
+      { length: this.#pointsPerServer },
       (_, n) => this.#unitHash(`${id}/${n}`),
     ).sort((a, b) => a - b);
     this.#points.set(id, points);
@@ -60,13 +60,13 @@
   }
 }
 
-/** Index of the first point that is not below `at`; the length where there is none. */
-function firstFrom(points: readonly number[], at: number): number {
+/** Index of the first point that is not less than `position`, or the length if there is none. */
+function lowerBound(points: readonly number[], position: number): number {
   let low = 0;
   let high = points.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((points[middle] ?? 1) < at) low = middle + 1;
+    if ((points[middle] ?? 1) < position) low = middle + 1;
     else high = middle;
   }
   return low;
--- a/src/core/routing/herd_test.ts
+++ b/src/core/routing/herd_test.ts
@@ -90,7 +90,7 @@
         sharedMs: SHARED_MS,
         dataCentre: "north" as DataCentreId,
         tried: new Set(),
-        limited: [],
+        rateLimited: [],
         nowMs: 0,
       });
       assert.ok(server);
--- a/src/core/routing/limit_admission.ts
+++ b/src/core/routing/limit_admission.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds what a backend server that names a limit gets from all VMs together, without talking for
- * each request: it belongs to a few VMs by hash, and each of these may send it a part of the limit.
- * The others send it what an owner lends them of its own part.
+ * Enforces the request rate limit that a backend server advertises across all VMs, without
+ * coordinating on each request. A hash assigns each server to a few owner VMs, and each owner has a
+ * token bucket with its share of the limit. Other VMs borrow permits from the owners.
  */
 
 import type { EntryId, InstanceId } from "../ids.ts";
@@ -12,69 +12,72 @@
   type UnackedAttempts,
   UNRESPONSIVE_MS,
 } from "../servers/unacked_attempts.ts";
-import { type LimitPart, limitPart } from "./limit_part.ts";
+import { type LimitShare, limitShare } from "./limit_share.ts";
 import { ServerOwners } from "./server_owners.ts";
 import type { UnitHash } from "./version_choice.ts";
 
-/** How long a place that was lent may be used, in milliseconds. */
-const LOAN_MS = 200;
-/** How long the list of VMs that serve is kept before it is looked up anew, in milliseconds. */
-const KEEP_VMS_MS = 500;
-/** Longest time that is told until there may be a place, in milliseconds. */
-const LONGEST_WAIT_MS = 10_000;
+/** How long a borrowed permit is valid, in milliseconds. */
+const LEASE_MS = 200;
+/** How long the list of serving VMs is cached, in milliseconds. */
+const SERVING_VMS_TTL_MS = 500;
+/** Upper bound of the wait that is reported until a permit may be available, in milliseconds. */
+const MAX_WAIT_MS = 10_000;
 /**
- * Longest time that others who wait for places are put before one that asks, in milliseconds. Not
- * all of them come for their turns, and until its own turn who asked does not ask again.
+ * Upper bound of the wait for permits that were promised to earlier callers, in milliseconds. Some
+ * of them never return for their permits, and a refused caller does not retry before its own turn.
  */
-const LONGEST_QUEUE_MS = 2_000;
+const MAX_QUEUE_WAIT_MS = 2_000;
 
-/** Time without an attempt after which a server that may have stopped gets one, in milliseconds. */
-const PROBE_MS = 20_000;
+/** A possibly stalled server gets a new attempt this long after the last one, in milliseconds. */
+const STALLED_PROBE_INTERVAL_MS = 20_000;
 
-/** VMs that this one knows and that may send requests. */
-export interface LivingVms {
+/** Fleet members that may send requests, as known to this VM. */
+export interface FleetMembers {
   readonly self: Member;
   others(): Member[];
 }
 
-/** What an owner answers to a VM that asks for a place. */
-export interface Lent {
+/** An owner's answer to a VM that requests a permit. */
+export interface GrantAnswer {
   readonly granted: boolean;
-  /** Milliseconds until it is worth asking again; 0 where a place was granted. */
+  /** Milliseconds after which a retry is worthwhile; 0 if a permit was granted. */
   readonly opensInMs: number;
 }
 
-/** A place for one request at a server, asked for again at its first byte. */
-export interface SendPlace {
-  /** Whether the request may be sent; counts it if so. */
-  take(): boolean;
-  /** Gives the place back if it was not taken. */
+/** Holds a permit back for one request until its first byte is sent. */
+export interface SendReservation {
+  /** Releases the reservation and consumes a permit; returns whether the request may be sent. */
+  tryAcquire(): boolean;
+  /** Returns the reserved permit unless it has been acquired. */
   release(): void;
 }
 
-/** What is kept of a server that has a limit. */
+/** State of one rate-limited server. */
 interface Bucket {
-  life: ServerLifeKey;
+  incarnation: ServerLifeKey;
   isOwner: boolean;
-  /** Requests that may be sent now, as an owner. */
+  /** Requests that this VM may send now from its own share. */
   tokens: number;
   refilledMs: number;
-  /** Until when places that others have lent may be used. */
-  loansUntilMs: number[];
-  /** Requests that were given a place and have not left yet. */
-  waiting: number;
-  /** When those that were refused a place so far will all have had one. */
-  promisedMs: number;
-  /** When it is worth asking owners again that have lent nothing. */
-  readonly askAgainMs: Map<EntryId, number>;
+  /** Expiry times of permits that were borrowed from owners. */
+  borrowedUntilMs: number[];
+  /** Requests with a reservation that have not been sent yet. */
+  reserved: number;
+  /** When all callers that were refused so far will have had their turn. */
+  queuedUntilMs: number;
+  /** When owners that refused a permit may be asked again. */
+  readonly retryAtMs: Map<EntryId, number>;
 }
 
-const FREE_PLACE: SendPlace = { take: () => true, release: () => {} };
+const UNLIMITED: SendReservation = {
+  tryAcquire: () => true,
+  release: () => {},
+};
 
-/** Says whether this VM may send requests to servers that name limits. */
+/** Decides whether this VM may send requests to rate-limited servers. */
 export class LimitAdmission {
   readonly #limits: ServerLimits;
-  readonly #vms: LivingVms;
+  readonly #members: FleetMembers;
   readonly #clock: { monotonicMs(): number };
   readonly #unacked: UnackedAttempts;
   readonly #owners: ServerOwners;
@@ -85,13 +88,13 @@
   constructor({ serverLimits, unackedAttempts, memberTable, unitHash, clock }: {
     serverLimits: ServerLimits;
     unackedAttempts: UnackedAttempts;
-    memberTable: LivingVms;
+    memberTable: FleetMembers;
     unitHash: UnitHash;
     clock: { monotonicMs(): number };
   }) {
     this.#limits = serverLimits;
     this.#unacked = unackedAttempts;
-    this.#vms = memberTable;
+    this.#members = memberTable;
     this.#clock = clock;
     this.#owners = new ServerOwners({
       self: memberTable.self.id,
@@ -102,200 +105,206 @@
     });
   }
 
-  /** Whether a server takes a request of this VM now. */
-  isOpen(server: ServerLifeKey): boolean {
-    const part = this.#partOf(server);
-    if (part === undefined) return true;
-    const bucket = this.#bucket(server, part);
-    return this.#free(bucket) - bucket.waiting >= 1;
+  /** Whether an unreserved permit for the server is available now; always true without a limit. */
+  canAcquire(server: ServerLifeKey): boolean {
+    const share = this.#shareOf(server);
+    if (share === undefined) return true;
+    const bucket = this.#refreshBucket(server, share);
+    return this.#permits(bucket) - bucket.reserved >= 1;
   }
 
-  /** Milliseconds until a server may take a request of this VM; 0 where it does. */
+  /** Estimated milliseconds until a permit is available; 0 if one is available now. */
   opensInMs(server: ServerLifeKey): number {
-    const part = this.#partOf(server);
-    if (part === undefined || this.isOpen(server)) return 0;
-    const bucket = this.#bucket(server, part);
+    const share = this.#shareOf(server);
+    if (share === undefined || this.canAcquire(server)) return 0;
+    const bucket = this.#refreshBucket(server, share);
     const nowMs = this.#clock.monotonicMs();
     const settlesInMs = this.#owners.settlesInMs(nowMs);
     if (settlesInMs > 0) return settlesInMs;
-    if (bucket.isOwner) return this.#promise(bucket, part);
-    const askAgainMs = [...bucket.askAgainMs.values()]
+    if (bucket.isOwner) return this.#queueWaitMs(bucket, share);
+    const retryAtMs = [...bucket.retryAtMs.values()]
       .filter((atMs) => atMs > nowMs);
-    return askAgainMs.length === 0
-      ? intervalMs(part)
-      : Math.min(...askAgainMs) - nowMs;
+    return retryAtMs.length === 0
+      ? periodMs(share)
+      : Math.min(...retryAtMs) - nowMs;
   }
 
-  /** Gives a request a place that was chosen for a server. */
-  reserve(server: ServerLifeKey): SendPlace {
-    const part = this.#partOf(server);
-    // A server may name a limit while the connection comes up.
-    if (part === undefined) {
-      return { ...FREE_PLACE, take: () => this.#takeUnreserved(server) };
+  /** Reserves a permit for a request that has been routed to the server. */
+  reserve(server: ServerLifeKey): SendReservation {
+    const share = this.#shareOf(server);
+    // The server may advertise a limit while the connection is being established.
+    if (share === undefined) {
+      return { ...UNLIMITED, tryAcquire: () => this.#consume(server) };
     }
-    const bucket = this.#bucket(server, part);
-    bucket.waiting += 1;
+    const bucket = this.#refreshBucket(server, share);
+    bucket.reserved += 1;
     let isHeld = true;
     const release = () => {
-      if (isHeld) bucket.waiting -= 1;
+      if (isHeld) bucket.reserved -= 1;
       isHeld = false;
     };
-    const take = () => {
+    const tryAcquire = () => {
       release();
-      return this.#takeUnreserved(server);
+      return this.#consume(server);
     };
-    return { take, release };
+    return { tryAcquire, release };
   }
 
-  /** Lends a place to another VM, out of what this one may send. */
-  lend(server: ServerLifeKey): Lent {
-    const part = this.#partOf(server);
-    // What is not limited as known here is nothing to lend of: news of it is on its way.
-    if (part === undefined) return { granted: false, opensInMs: LOAN_MS };
-    const bucket = this.#bucket(server, part);
-    if (bucket.isOwner && bucket.tokens - bucket.waiting >= 1) {
+  /** Grants another VM a permit from this VM's own share, if one is left. */
+  tryGrant(server: ServerLifeKey): GrantAnswer {
+    const share = this.#shareOf(server);
+    // The limit has not reached this VM yet, so its share is unknown.
+    if (share === undefined) return { granted: false, opensInMs: LEASE_MS };
+    const bucket = this.#refreshBucket(server, share);
+    if (bucket.isOwner && bucket.tokens - bucket.reserved >= 1) {
       bucket.tokens -= 1;
       return { granted: true, opensInMs: 0 };
     }
-    if (!bucket.isOwner) return { granted: false, opensInMs: intervalMs(part) };
-    const opensInMs = this.#promise(bucket, part);
+    if (!bucket.isOwner) return { granted: false, opensInMs: periodMs(share) };
+    const opensInMs = this.#queueWaitMs(bucket, share);
     const nowMs = this.#clock.monotonicMs();
-    bucket.promisedMs = nowMs + opensInMs + 1 / part.perMs;
+    bucket.queuedUntilMs = nowMs + opensInMs + 1 / share.perMs;
     return { granted: false, opensInMs };
   }
 
-  /** Other owners that may be asked for a place now. */
-  lenders(server: ServerLifeKey): readonly EntryId[] {
-    const part = this.#partOf(server);
-    if (part === undefined) return [];
-    const { askAgainMs } = this.#bucket(server, part);
+  /** Other owners that may be asked for a permit now. */
+  ownersToAsk(server: ServerLifeKey): readonly EntryId[] {
+    const share = this.#shareOf(server);
+    if (share === undefined) return [];
+    const { retryAtMs } = this.#refreshBucket(server, share);
     const nowMs = this.#clock.monotonicMs();
     const owners = this.#owners.owners(server.instance, {
-      count: part.owners,
+      count: share.owners,
       nowMs,
     });
     return owners.filter((id) =>
-      id !== this.#vms.self.id && (askAgainMs.get(id) ?? 0) <= nowMs
+      id !== this.#members.self.id && (retryAtMs.get(id) ?? 0) <= nowMs
     );
   }
 
-  /** Takes in the answer of an owner that was asked for a place. */
-  borrowed(
+  /** Records an owner's answer to a permit request. */
+  recordAnswer(
     server: ServerLifeKey,
-    { owner, granted, opensInMs }: Lent & { owner: EntryId },
+    { owner, granted, opensInMs }: GrantAnswer & { owner: EntryId },
   ): void {
-    const part = this.#partOf(server);
-    if (part === undefined) return;
-    const bucket = this.#bucket(server, part);
+    const share = this.#shareOf(server);
+    if (share === undefined) return;
+    const bucket = this.#refreshBucket(server, share);
     const nowMs = this.#clock.monotonicMs();
-    if (granted) bucket.loansUntilMs.push(nowMs + LOAN_MS);
-    else bucket.askAgainMs.set(owner, nowMs + opensInMs);
+    if (granted) bucket.borrowedUntilMs.push(nowMs + LEASE_MS);
+    else bucket.retryAtMs.set(owner, nowMs + opensInMs);
   }
 
-  /** Forgets a server that is gone. */
-  forget(instance: InstanceId): void {
+  /** Drops the state of a server that no longer exists. */
+  remove(instance: InstanceId): void {
     this.#buckets.delete(instance);
-    this.#owners.forget(instance);
+    this.#owners.remove(instance);
   }
 
-  #takeUnreserved(server: ServerLifeKey): boolean {
-    const part = this.#partOf(server);
-    if (part === undefined) return true;
-    const bucket = this.#bucket(server, part);
-    if (bucket.loansUntilMs.shift() !== undefined) return true;
+  #consume(server: ServerLifeKey): boolean {
+    const share = this.#shareOf(server);
+    if (share === undefined) return true;
+    const bucket = this.#refreshBucket(server, share);
+    if (bucket.borrowedUntilMs.shift() !== undefined) return true;
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
     return true;
   }
 
-  #partOf(server: ServerLifeKey): LimitPart | undefined {
+  #shareOf(server: ServerLifeKey): LimitShare | undefined {
     const limitPerS = this.#limits.of(server);
     if (limitPerS === undefined) {
-      // A limit that begins anew finds nothing saved.
+      // If the server advertises a limit again later, its bucket starts empty.
       this.#buckets.delete(server.instance);
       return undefined;
     }
-    return limitPart(limitPerS, this.#servingVms().length);
+    return limitShare(limitPerS, this.#servingVms().length);
   }
 
-  /** VMs that serve: one that leaves gets few requests, and one that is dead none. */
+  /** Excludes leaving VMs, which get few requests, and dead ones, which get none. */
   #servingVms(): readonly Member[] {
     const nowMs = this.#clock.monotonicMs();
-    if (nowMs - this.#servingMs < KEEP_VMS_MS) return this.#serving;
+    if (nowMs - this.#servingMs < SERVING_VMS_TTL_MS) return this.#serving;
     this.#servingMs = nowMs;
-    this.#serving = [this.#vms.self, ...this.#vms.others()].filter((
+    this.#serving = [this.#members.self, ...this.#members.others()].filter((
       { state },
     ) => state === "alive" || state === "suspect");
     return this.#serving;
   }
 
-  #free({ tokens, loansUntilMs }: Bucket): number {
-    return Math.floor(tokens) + loansUntilMs.length;
+  #permits({ tokens, borrowedUntilMs }: Bucket): number {
+    return Math.floor(tokens) + borrowedUntilMs.length;
   }
 
-  #promise(bucket: Bucket, { perMs }: LimitPart): number {
+  #queueWaitMs(bucket: Bucket, { perMs }: LimitShare): number {
     const nowMs = this.#clock.monotonicMs();
-    const missing = Math.max(0, 1 + bucket.waiting - bucket.tokens);
-    const queueMs = Math.min(LONGEST_QUEUE_MS, bucket.promisedMs - nowMs);
-    return Math.min(LONGEST_WAIT_MS, Math.max(missing / perMs, queueMs));
+    const missing = Math.max(0, 1 + bucket.reserved - bucket.tokens);
+    const queueMs = Math.min(MAX_QUEUE_WAIT_MS, bucket.queuedUntilMs - nowMs);
+    return Math.min(MAX_WAIT_MS, Math.max(missing / perMs, queueMs));
   }
 
-  /** What is kept of a server, brought up to date. */
-  #bucket(life: ServerLifeKey, part: LimitPart): Bucket {
+  /** Returns the bucket of a server after refilling it and dropping what has expired. */
+  #refreshBucket(incarnation: ServerLifeKey, share: LimitShare): Bucket {
     const nowMs = this.#clock.monotonicMs();
-    const { instance } = life;
+    const { instance } = incarnation;
     const isOwner = this.#owners.isOwner(instance, {
-      count: part.owners,
+      count: share.owners,
       nowMs,
     });
     const known = this.#buckets.get(instance);
-    if (known === undefined || isLaterLife(life, known.life)) {
-      const bucket = newBucket(life, { isOwner, nowMs });
+    if (known === undefined || isLaterLife(incarnation, known.incarnation)) {
+      const bucket = newBucket(incarnation, { isOwner, nowMs });
       this.#buckets.set(instance, bucket);
       return bucket;
     }
-    // Who takes a part over begins with nothing saved: its last owner may just have used it.
+    // A new owner starts with an empty bucket: the previous owner may have just spent its tokens.
     const wasOwner = known.isOwner && isOwner;
-    const grown = known.tokens + part.perMs * (nowMs - known.refilledMs);
-    known.tokens = wasOwner ? Math.min(part.burst, grown) : 0;
+    const refilled = known.tokens + share.perMs * (nowMs - known.refilledMs);
+    known.tokens = wasOwner ? Math.min(share.burst, refilled) : 0;
     known.isOwner = isOwner;
     known.refilledMs = nowMs;
-    for (const [id, atMs] of known.askAgainMs) {
-      if (atMs <= nowMs) known.askAgainMs.delete(id);
+    for (const [id, atMs] of known.retryAtMs) {
+      if (atMs <= nowMs) known.retryAtMs.delete(id);
     }
-    known.loansUntilMs = known.loansUntilMs.filter((atMs) => atMs > nowMs);
-    if (this.#mayHaveStopped(life)) {
+    known.borrowedUntilMs = known.borrowedUntilMs.filter((atMs) =>
+      atMs > nowMs
+    );
+    if (this.#mayBeStalled(incarnation)) {
       known.tokens = 0;
-      known.loansUntilMs = [];
+      known.borrowedUntilMs = [];
     }
     return known;
   }
 
-  /** What a stopped server has not read arrives as it goes on, beside what it is sent then. */
-  #mayHaveStopped(life: ServerLifeKey): boolean {
+  /**
+   * Whether the server may be stalled and should get no requests now. When a stalled server
+   * resumes, it reads the requests buffered in the meantime in addition to newly sent ones, which
+   * together could exceed the limit.
+   */
+  #mayBeStalled(incarnation: ServerLifeKey): boolean {
     const nowMs = this.#clock.monotonicMs();
-    const { oldestMs, newestMs } = this.#unacked.state(life, nowMs);
-    return oldestMs >= UNRESPONSIVE_MS && newestMs < PROBE_MS;
+    const { oldestMs, newestMs } = this.#unacked.state(incarnation, nowMs);
+    return oldestMs >= UNRESPONSIVE_MS && newestMs < STALLED_PROBE_INTERVAL_MS;
   }
 }
 
-/** Time between two requests of one owner, as far as others are told of it. */
-function intervalMs({ perMs }: LimitPart): number {
-  return Math.min(LONGEST_WAIT_MS, 1 / perMs);
+/** Time in which one owner's share yields one permit, capped at `MAX_WAIT_MS`. */
+function periodMs({ perMs }: LimitShare): number {
+  return Math.min(MAX_WAIT_MS, 1 / perMs);
 }
 
 function newBucket(
-  life: ServerLifeKey,
+  incarnation: ServerLifeKey,
   { isOwner, nowMs }: { isOwner: boolean; nowMs: number },
 ): Bucket {
   return {
-    life,
+    incarnation,
     isOwner,
     tokens: 0,
     refilledMs: nowMs,
-    loansUntilMs: [],
-    waiting: 0,
-    promisedMs: 0,
-    askAgainMs: new Map(),
+    borrowedUntilMs: [],
+    reserved: 0,
+    queuedUntilMs: 0,
+    retryAtMs: new Map(),
   };
 }
--- a/src/core/routing/limit_admission_test.ts
+++ b/src/core/routing/limit_admission_test.ts
@@ -73,10 +73,10 @@
 
   /** Asks owners for a place until one lends it. */
   borrow(others: ReadonlyMap<EntryId, Vm>): void {
-    for (const owner of this.admission.lenders(SERVER)) {
-      const lent = others.get(owner)?.admission.lend(SERVER);
+    for (const owner of this.admission.ownersToAsk(SERVER)) {
+      const lent = others.get(owner)?.admission.tryGrant(SERVER);
       if (lent === undefined) continue;
-      this.admission.borrowed(SERVER, { owner, ...lent });
+      this.admission.recordAnswer(SERVER, { owner, ...lent });
       if (lent.granted) return;
     }
   }
@@ -87,8 +87,8 @@
 
   /** Sends one request if it may; returns whether it did. */
   send(): boolean {
-    if (!this.admission.isOpen(SERVER)) return false;
-    return this.admission.reserve(SERVER).take();
+    if (!this.admission.canAcquire(SERVER)) return false;
+    return this.admission.reserve(SERVER).tryAcquire();
   }
 }
 
@@ -304,14 +304,14 @@
     const [vm] = fleetOf(1);
     nowMs = SETTLED_MS;
     vm?.hear(1);
-    const first = vm?.admission.lend(SERVER);
-    const second = vm?.admission.lend(SERVER);
+    const first = vm?.admission.tryGrant(SERVER);
+    const second = vm?.admission.tryGrant(SERVER);
     // Who asks later is told a later time, as the first is to come back before.
     assert.deepEqual([first?.granted, second?.granted], [false, false]);
     assert.ok((second?.opensInMs ?? 0) >= (first?.opensInMs ?? 0) + 1_000);
     nowMs += first?.opensInMs ?? 0;
-    assert.equal(vm?.admission.lend(SERVER).granted, true);
-    assert.equal(vm?.admission.isOpen(SERVER), false);
+    assert.equal(vm?.admission.tryGrant(SERVER).granted, true);
+    assert.equal(vm?.admission.canAcquire(SERVER), false);
   });
 
   it("should not let a place be used long after it was lent", () => {
@@ -319,8 +319,8 @@
     nowMs = SETTLED_MS;
     vm?.hear(1);
     const owner = "edge-6" as EntryId;
-    vm?.admission.borrowed(SERVER, { owner, granted: true, opensInMs: 0 });
-    assert.equal(vm?.admission.isOpen(SERVER), true);
+    vm?.admission.recordAnswer(SERVER, { owner, granted: true, opensInMs: 0 });
+    assert.equal(vm?.admission.canAcquire(SERVER), true);
     nowMs += 300;
     assert.equal(vm?.send(), false);
   });
@@ -332,7 +332,7 @@
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
     const place = vm?.admission.reserve(SERVER);
-    assert.equal(vm?.admission.isOpen(SERVER), false);
+    assert.equal(vm?.admission.canAcquire(SERVER), false);
     place?.release();
     place?.release();
     assert.equal(vm?.send(), true);
@@ -346,7 +346,7 @@
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
     vm?.limits.namesNone(SERVER, nowMs);
-    assert.equal(vm?.admission.isOpen(SERVER), true);
+    assert.equal(vm?.admission.canAcquire(SERVER), true);
     nowMs += 5_000;
     vm?.hear(1);
     assert.equal(vm?.send(), false);
--- a/src/core/routing/limit_lending_test.ts
+++ b/src/core/routing/permit_borrowing_test.ts
@@ -17,7 +17,7 @@
 import type { EntryId } from "../ids.ts";
 import { UnackedAttempts } from "../servers/unacked_attempts.ts";
 import { ServerLimits } from "../servers/server_limits.ts";
-import { type Lent, LimitAdmission } from "./limit_admission.ts";
+import { type GrantAnswer, LimitAdmission } from "./limit_admission.ts";
 
 const SERVER = serverRecord("i-1", { bornMs: 5 });
 const STEP_MS = 20;
@@ -99,7 +99,7 @@
       this.#messages = this.#messages.filter(({ atMs }) => atMs > this.nowMs);
       for (const { arrive } of due) arrive();
       for (const [id, vm] of pressed) {
-        while (vm.isOpen(SERVER) && vm.reserve(SERVER).take()) {
+        while (vm.canAcquire(SERVER) && vm.reserve(SERVER).tryAcquire()) {
           this.sentMs.push(this.nowMs);
         }
         this.#ask(id, vm);
@@ -108,17 +108,17 @@
   }
 
   #ask(id: EntryId, vm: LimitAdmission): void {
-    for (const owner of vm.lenders(SERVER)) {
+    for (const owner of vm.ownersToAsk(SERVER)) {
       const key = `${id}/${owner}`;
       if (this.#asking.has(key)) continue;
       this.#asking.add(key);
       const untilMs = this.nowMs + ASKED_MS;
-      const take = (lent: Lent) => {
+      const take = (lent: GrantAnswer) => {
         if (!this.#asking.delete(key)) return;
-        vm.borrowed(SERVER, { owner, ...lent });
+        vm.recordAnswer(SERVER, { owner, ...lent });
       };
       this.#send(() => {
-        const lent = this.#vms.get(owner)?.lend(SERVER);
+        const lent = this.#vms.get(owner)?.tryGrant(SERVER);
         if (lent !== undefined) {
           this.#send(() => {
             if (this.nowMs <= untilMs) take(lent);
--- a/src/core/routing/prompt_holders.ts
+++ b/src/core/routing/prompt_holders.ts
@@ -1,96 +1,96 @@
-/** Which servers have read which prompts lately, as far as this VM knows. */
+/** Tracks which servers probably have a prompt in their cache, as far as this VM knows. */
 
 import type { InstanceId } from "../ids.ts";
 
 /**
- * Time after its last use for which a server is taken to hold a prompt, in milliseconds:
- * loaded servers drop what was not used for longest.
+ * Time since its last use for which a prompt is assumed to be cached on a server, in milliseconds.
+ * Loaded servers evict the least recently used prompts.
  */
-const HELD_MS = 20_000;
-/** Time for which a new holder is told to other VMs: each pair talks twice in it. */
-const TOLD_MS = 2_500;
-/** New holders in one digest, at most. */
-const MOST_TOLD = 200;
-/** Prompts that are remembered, at most; those not used for longest are forgotten first. */
-const MOST_KEYS = 20_000;
+const CACHED_MS = 20_000;
+/** How long a new holder is advertised, in milliseconds: two digest exchanges per pair of VMs. */
+const ADVERTISE_MS = 2_500;
+/** Maximum number of new holders in one digest. */
+const MAX_ADVERTISED = 200;
+/** Maximum number of prompts tracked; the least recently used are evicted first. */
+const MAX_KEYS = 20_000;
 
-/** What prompts have in common that gain from the same server: a model and a shared part. */
+/** Identifies prompts that benefit from the same server: same model and same shared prompt part. */
 export type PromptKey = string;
 
-/** A server that has begun to read a prompt. */
+/** A server that has started to process a prompt. */
 export interface PromptHolder {
   readonly key: PromptKey;
   readonly instance: InstanceId;
 }
 
-/** A directory by what this VM sent and what others told. */
+/** Directory of prompt holders, built from this VM's own requests and from other VMs' digests. */
 export class PromptHolders {
-  /** When each server last got each prompt. */
-  readonly #held = new Map<PromptKey, Map<InstanceId, number>>();
-  /** When servers lately ended or left; what they held before is gone. */
+  /** When each server was last sent each prompt. */
+  readonly #lastUsedMs = new Map<PromptKey, Map<InstanceId, number>>();
+  /** When servers recently ended or left, which emptied their caches. */
   readonly #endedMs = new Map<InstanceId, number>();
   #shared = true;
   #sent: { readonly holder: PromptHolder; readonly atMs: number }[] = [];
 
-  /** Tells whether other VMs tell of theirs. */
+  /** Sets whether other VMs advertise their prompt holders. */
   setShared(shared: boolean): void {
     this.#shared = shared;
   }
 
-  /** Whether other VMs tell of theirs, so that what is not known here is held nowhere. */
+  /** Whether other VMs advertise their holders, so that a prompt without any is cached nowhere. */
   get shared(): boolean {
     return this.#shared;
   }
 
-  /** Notes that a prompt is sent to a server. */
-  sent({ key, instance }: PromptHolder, nowMs: number): void {
-    const servers = this.#serversOf(key);
-    const known = servers.get(instance);
+  /** Records that a prompt is being sent to a server. */
+  recordSent({ key, instance }: PromptHolder, nowMs: number): void {
+    const servers = this.#touch(key);
+    const lastUsedMs = servers.get(instance);
     servers.set(instance, nowMs);
-    if (known !== undefined && nowMs - known < HELD_MS) return;
+    if (lastUsedMs !== undefined && nowMs - lastUsedMs < CACHED_MS) return;
     this.#sent.push({ holder: { key, instance }, atMs: nowMs });
   }
 
-  /** Notes that a server has ended or left: one that comes back under its id holds nothing. */
-  ended(instance: InstanceId, nowMs: number): void {
-    for (const [known, endedMs] of this.#endedMs) {
-      if (nowMs - endedMs >= HELD_MS) this.#endedMs.delete(known);
+  /** Records that a server has ended or left; if it returns under its id, its cache is empty. */
+  recordServerEnd(instance: InstanceId, nowMs: number): void {
+    for (const [other, endedMs] of this.#endedMs) {
+      if (nowMs - endedMs >= CACHED_MS) this.#endedMs.delete(other);
     }
     this.#endedMs.set(instance, nowMs);
   }
 
-  /** Takes in what another VM has sent. */
-  told(holders: readonly PromptHolder[], nowMs: number): void {
+  /** Merges holders that another VM has advertised. */
+  mergeAdvertised(holders: readonly PromptHolder[], nowMs: number): void {
     for (const { key, instance } of holders) {
-      const servers = this.#serversOf(key);
+      const servers = this.#touch(key);
       servers.set(instance, Math.max(servers.get(instance) ?? 0, nowMs));
     }
   }
 
-  /** Holders that other VMs may not know of yet. */
-  news(nowMs: number): PromptHolder[] {
-    this.#sent = this.#sent.filter(({ atMs }) => nowMs - atMs <= TOLD_MS);
-    return this.#sent.slice(-MOST_TOLD).map(({ holder }) => holder);
+  /** Holders recently added by this VM, which other VMs may not know yet. */
+  holdersToAdvertise(nowMs: number): PromptHolder[] {
+    this.#sent = this.#sent.filter(({ atMs }) => nowMs - atMs <= ADVERTISE_MS);
+    return this.#sent.slice(-MAX_ADVERTISED).map(({ holder }) => holder);
   }
 
-  /** Servers that are taken to hold a prompt. */
-  of(key: PromptKey, nowMs: number): ReadonlySet<InstanceId> {
+  /** Servers that are assumed to have a prompt in their cache. */
+  holdersOf(key: PromptKey, nowMs: number): ReadonlySet<InstanceId> {
     const holders = new Set<InstanceId>();
-    for (const [instance, usedMs] of this.#held.get(key) ?? []) {
+    for (const [instance, usedMs] of this.#lastUsedMs.get(key) ?? []) {
       const endedMs = this.#endedMs.get(instance) ?? -Infinity;
-      if (usedMs > endedMs && nowMs - usedMs < HELD_MS) holders.add(instance);
+      if (usedMs > endedMs && nowMs - usedMs < CACHED_MS) holders.add(instance);
     }
     return holders;
   }
 
-  /** The servers of a key, which becomes the one used last. */
-  #serversOf(key: PromptKey): Map<InstanceId, number> {
-    const servers = this.#held.get(key) ?? new Map<InstanceId, number>();
-    this.#held.delete(key);
-    this.#held.set(key, servers);
-    if (this.#held.size > MOST_KEYS) {
-      const [oldest] = this.#held.keys();
-      if (oldest !== undefined) this.#held.delete(oldest);
+  /** Returns the servers of a key and marks the key as most recently used. */
+  #touch(key: PromptKey): Map<InstanceId, number> {
+    const servers = this.#lastUsedMs.get(key) ?? new Map<InstanceId, number>();
+    this.#lastUsedMs.delete(key);
+    this.#lastUsedMs.set(key, servers);
+    if (this.#lastUsedMs.size > MAX_KEYS) {
+      const [oldest] = this.#lastUsedMs.keys();
+      if (oldest !== undefined) this.#lastUsedMs.delete(oldest);
     }
     return servers;
   }
--- a/src/core/routing/prompt_holders_test.ts
+++ b/src/core/routing/prompt_holders_test.ts
@@ -14,40 +14,43 @@
 
 describe("prompt holders", () => {
   it("should know the servers that a prompt was sent to, here or elsewhere", () => {
-    holders.sent({ key: "m/1", instance: A }, 0);
-    holders.told([{ key: "m/1", instance: B }], 100);
-    assert.deepEqual([...holders.of("m/1", 200)], [A, B]);
-    assert.deepEqual([...holders.of("m/2", 200)], []);
+    holders.recordSent({ key: "m/1", instance: A }, 0);
+    holders.mergeAdvertised([{ key: "m/1", instance: B }], 100);
+    assert.deepEqual([...holders.holdersOf("m/1", 200)], [A, B]);
+    assert.deepEqual([...holders.holdersOf("m/2", 200)], []);
   });
 
   it("should forget a holder that has not been used for long", () => {
-    holders.sent({ key: "m/1", instance: A }, 0);
-    holders.sent({ key: "m/1", instance: A }, 15_000);
-    assert.equal(holders.of("m/1", 30_000).size, 1);
-    assert.equal(holders.of("m/1", 36_000).size, 0);
+    holders.recordSent({ key: "m/1", instance: A }, 0);
+    holders.recordSent({ key: "m/1", instance: A }, 15_000);
+    assert.equal(holders.holdersOf("m/1", 30_000).size, 1);
+    assert.equal(holders.holdersOf("m/1", 36_000).size, 0);
   });
 
   it("should tell new holders for a while, and what it was told to nobody", () => {
-    holders.sent({ key: "m/1", instance: A }, 0);
-    holders.told([{ key: "m/2", instance: B }], 0);
-    assert.deepEqual(holders.news(1_000), [{ key: "m/1", instance: A }]);
-    holders.sent({ key: "m/1", instance: A }, 3_000);
-    assert.deepEqual(holders.news(3_000), []);
+    holders.recordSent({ key: "m/1", instance: A }, 0);
+    holders.mergeAdvertised([{ key: "m/2", instance: B }], 0);
+    assert.deepEqual(holders.holdersToAdvertise(1_000), [{
+      key: "m/1",
+      instance: A,
+    }]);
+    holders.recordSent({ key: "m/1", instance: A }, 3_000);
+    assert.deepEqual(holders.holdersToAdvertise(3_000), []);
   });
 
   it("should keep a bounded number of prompts, those used last", () => {
     for (let n = 0; n < 30_000; n++) {
-      holders.sent({ key: `m/${n}`, instance: A }, n / 100);
+      holders.recordSent({ key: `m/${n}`, instance: A }, n / 100);
     }
-    assert.equal(holders.of("m/0", 300).size, 0);
-    assert.equal(holders.of("m/29999", 300).size, 1);
+    assert.equal(holders.holdersOf("m/0", 300).size, 0);
+    assert.equal(holders.holdersOf("m/29999", 300).size, 1);
   });
 
   it("should not take a server for a holder of what it held in an earlier life", () => {
-    holders.sent({ key: "m/1", instance: A }, 0);
-    holders.ended(A, 100);
-    assert.deepEqual([...holders.of("m/1", 200)], []);
-    holders.sent({ key: "m/1", instance: A }, 300);
-    assert.deepEqual([...holders.of("m/1", 400)], [A]);
+    holders.recordSent({ key: "m/1", instance: A }, 0);
+    holders.recordServerEnd(A, 100);
+    assert.deepEqual([...holders.holdersOf("m/1", 200)], []);
+    holders.recordSent({ key: "m/1", instance: A }, 300);
+    assert.deepEqual([...holders.holdersOf("m/1", 400)], [A]);
   });
 });
--- a/src/core/routing/routing_test.ts
+++ b/src/core/routing/routing_test.ts
@@ -10,7 +10,7 @@
 import { EMPTY_CONFIGURATION } from "../config/configuration.ts";
 import { ConfigurationIndex } from "../config/configuration_index.ts";
 import type { BackendId, DataCentreId, EntryId, Revision } from "../ids.ts";
-import { TwoChoicesChooser } from "./server_chooser.ts";
+import { PowerOfTwoChooser } from "./server_chooser.ts";
 import { ServerPool } from "./server_pool.ts";
 import { chooseSubset } from "./server_subset.ts";
 import { versionsInOrder } from "./version_choice.ts";
@@ -42,12 +42,12 @@
       pool.begin(A);
       pool.end(A, { outcome: "refused", nowMs });
     }
-    assert.equal(pool.returnsInMs(A, 1_000), 2_000);
+    assert.equal(pool.availableInMs(A, 1_000), 2_000);
     pool.begin(A);
     pool.end(A, { outcome: "answered", nowMs: 3_000 });
     pool.begin(A);
     pool.end(A, { outcome: "refused", nowMs: 3_000 });
-    assert.equal(pool.returnsInMs(A, 3_000), 1_000);
+    assert.equal(pool.availableInMs(A, 3_000), 1_000);
   });
 
   test("should bear some failures before it ejects", () => {
@@ -72,10 +72,10 @@
   test("should take the less loaded and never a leaving or tried one", () => {
     const pool = new ServerPool();
     pool.report(A, { running: 4, waiting: 0, receivedAtMs: 0 });
-    pool.setLeaving(["c" as BackendId]);
+    pool.setDraining(["c" as BackendId]);
     fc.assert(
       fc.property(fc.double({ min: 0, max: 0.999, noNaN: true }), (chance) => {
-        const chooser = new TwoChoicesChooser(pool, () => chance);
+        const chooser = new PowerOfTwoChooser(pool, () => chance);
         const candidates = [server("a"), server("b"), server("c"), server("d")];
         const tried = new Set(["d" as BackendId]);
         assert.equal(chooser.choose({ candidates, tried, nowMs: 0 })?.id, "b");
--- a/src/core/routing/server_chooser.ts
+++ b/src/core/routing/server_chooser.ts
@@ -1,41 +1,40 @@
-/** Choice of the backend server that gets a request. */
+/** Load balancing policy that selects the backend server for a request. */
 
 import type { BackendServer } from "../config/configuration.ts";
 import type { BackendId } from "../ids.ts";
 import type { ServerPool } from "./server_pool.ts";
 
-/** Source of chance: a number from 0 up to but not including 1. */
-export type Chance = () => number;
+/** Returns a random number from 0 up to but not including 1. */
+export type RandomSource = () => number;
 
-/** What a choice depends on besides the pool. */
+/** Input of a selection, besides the state of the pool. */
 export interface ChoiceInput {
   readonly candidates: readonly BackendServer[];
-  /** Servers that this request has tried already. */
+  /** Servers that this request has already been sent to. */
   readonly tried: ReadonlySet<BackendId>;
   readonly nowMs: number;
 }
 
-/** A policy that picks one server out of several. */
 export interface ServerChooser {
-  /** Returns a server, or undefined when none may get the request. */
+  /** Returns the selected server, or undefined if no candidate may get the request. */
   choose(input: ChoiceInput): BackendServer | undefined;
 }
 
-/** Looks at two servers drawn by chance and takes the less loaded one. */
-export class TwoChoicesChooser implements ServerChooser {
+/** Power of two choices: draws two servers at random and takes the less loaded one. */
+export class PowerOfTwoChooser implements ServerChooser {
   readonly #pool: ServerPool;
-  readonly #chance: Chance;
+  readonly #random: RandomSource;
 
-  constructor(pool: ServerPool, chance: Chance) {
+  constructor(pool: ServerPool, random: RandomSource) {
     this.#pool = pool;
-    this.#chance = chance;
+    this.#random = random;
   }
 
   choose({ candidates, tried, nowMs }: ChoiceInput): BackendServer | undefined {
-    const usable = candidates.filter((server) =>
+    const available = candidates.filter((server) =>
       !tried.has(server.id) && this.#pool.isAvailable(server.id, nowMs)
     );
-    const [first, second] = this.#drawTwo(usable);
+    const [first, second] = this.#drawTwo(available);
     if (first === undefined || second === undefined) return first;
     return this.#relativeLoad(first) <= this.#relativeLoad(second)
       ? first
@@ -44,9 +43,9 @@
 
   #drawTwo(servers: readonly BackendServer[]): (BackendServer | undefined)[] {
     if (servers.length < 2) return [servers[0]];
-    const at = Math.floor(this.#chance() * servers.length);
-    const step = 1 + Math.floor(this.#chance() * (servers.length - 1));
-    return [servers[at], servers[(at + step) % servers.length]];
+    const index = Math.floor(this.#random() * servers.length);
+    const step = 1 + Math.floor(this.#random() * (servers.length - 1));
+    return [servers[index], servers[(index + step) % servers.length]];
   }
 
   #relativeLoad(server: BackendServer): number {
--- a/src/core/routing/server_owners.ts
+++ b/src/core/routing/server_owners.ts
@@ -1,47 +1,48 @@
-/** Gives each backend server to a few VMs by hash, the same ones as seen by all VMs. */
+/** Assigns each backend server to a few VMs by consistent hashing, identically on all VMs. */
 
 import type { EntryId, InstanceId } from "../ids.ts";
 import { HashRing } from "./hash_ring.ts";
 import type { UnitHash } from "./version_choice.ts";
 
 /**
- * A VM that has just started knows few others and would take itself for an owner of all; it owns
- * nothing for so long, in milliseconds. VMs hear of all others within two exchanges of 0.8 s.
+ * Time after its start during which a VM owns nothing, in milliseconds. It knows few other VMs at
+ * first and would regard itself as an owner of every server. Membership reaches a VM completely
+ * within two exchanges of 0.8 s.
  */
 const SETTLE_MS = 4_000;
-/** Points of each VM on the ring; several owners even out what few points leave uneven. */
-const POINTS = 2;
-/** How long the owners of a server are kept before they are looked up anew, in milliseconds. */
-const KEEP_MS = 500;
+/** Points of each VM on the ring. Few points spread load unevenly; several owners even it out. */
+const POINTS_PER_VM = 2;
+/** How long the owners of a server are cached, in milliseconds. */
+const OWNERS_TTL_MS = 500;
 
-interface Row {
+interface CachedOwners {
   readonly owners: readonly EntryId[];
   readonly count: number;
   readonly lookedUpMs: number;
 }
 
-/** What owners are chosen among, and for what. */
 export interface OwnersOptions {
   readonly self: EntryId;
+  /** Returns the VMs that may be owners. */
   readonly vms: () => readonly { readonly id: EntryId }[];
   readonly unitHash: UnitHash;
-  /** Keeps what is owned for one purpose apart from what is owned for another. */
+  /** Prefix of the hash key, so that each purpose has its own assignment of owners. */
   readonly purpose: string;
   readonly startedMs: number;
 }
 
-/** Says which VMs own a server, as far as this VM knows them. */
+/** Determines which VMs own a server, among the VMs known here. */
 export class ServerOwners {
   readonly #options: OwnersOptions;
   readonly #ring: HashRing;
-  readonly #rows = new Map<InstanceId, Row>();
+  readonly #cache = new Map<InstanceId, CachedOwners>();
 
   constructor(options: OwnersOptions) {
     this.#options = options;
-    this.#ring = new HashRing(options.unitHash, { points: POINTS });
+    this.#ring = new HashRing(options.unitHash, { points: POINTS_PER_VM });
   }
 
-  /** Milliseconds until this VM may own servers; 0 where it may. */
+  /** Milliseconds until this VM may own servers; 0 if it may already. */
   settlesInMs(nowMs: number): number {
     return Math.max(0, this.#options.startedMs + SETTLE_MS - nowMs);
   }
@@ -60,22 +61,22 @@
     instance: InstanceId,
     { count, nowMs }: { count: number; nowMs: number },
   ): readonly EntryId[] {
-    const known = this.#rows.get(instance);
-    const isFresh = known !== undefined && known.count === count &&
-      nowMs - known.lookedUpMs < KEEP_MS;
-    if (isFresh) return known.owners;
+    const cached = this.#cache.get(instance);
+    const isFresh = cached !== undefined && cached.count === count &&
+      nowMs - cached.lookedUpMs < OWNERS_TTL_MS;
+    if (isFresh) return cached.owners;
     const { vms, purpose } = this.#options;
     const owners = this.#ring.nearest(vms(), {
       key: `${purpose}/${instance}`,
       idOf: ({ id }) => id,
       count,
     }).map(({ id }) => id);
-    this.#rows.set(instance, { owners, count, lookedUpMs: nowMs });
+    this.#cache.set(instance, { owners, count, lookedUpMs: nowMs });
     return owners;
   }
 
-  /** Forgets a server. */
-  forget(instance: InstanceId): void {
-    this.#rows.delete(instance);
+  /** Drops the cached owners of a server. */
+  remove(instance: InstanceId): void {
+    this.#cache.delete(instance);
   }
 }
--- a/src/core/routing/server_pool.ts
+++ b/src/core/routing/server_pool.ts
@@ -1,24 +1,23 @@
-/** What an entry knows of one backend server, and whether to send it work. */
+/** Tracks the load and health of backend servers, and decides whether one may get new requests. */
 
 import type { BackendId } from "../ids.ts";
 
 /** Consecutive failures after which a server is ejected. */
 const EJECT_AFTER_FAILURES = 3;
-/** First ejection, doubled by each further one. */
+/** Duration of the first ejection; it doubles with each further one. */
 const FIRST_EJECTION_MS = 1_000;
-/** Longest ejection. */
-const LONGEST_EJECTION_MS = 30_000;
+const MAX_EJECTION_MS = 30_000;
 
-/** How a try ended, as far as the health of the server goes. */
-export type TryOutcome = "answered" | "refused" | "failed";
+/** Outcome of an attempt, as it affects the health of its server. */
+export type AttemptOutcome = "answered" | "refused" | "failed";
 
-/** Load as a model server reported it. */
+/** Load that a model server has reported. */
 export interface LoadReport {
-  /** Requests being worked on. */
+  /** Requests being processed. */
   readonly running: number;
   /** Requests waiting for a slot. */
   readonly waiting: number;
-  /** When the report arrived here, by the monotonic clock, in milliseconds. */
+  /** When this entry received the report, by the monotonic clock, in milliseconds. */
   readonly receivedAtMs: number;
 }
 
@@ -27,16 +26,16 @@
   failures: number;
   ejections: number;
   ejectedUntilMs: number;
-  /** Until when the server wants nothing, as it has said. */
-  restsUntilMs: number;
+  /** End of the backoff that the server has requested. */
+  backoffUntilMs: number;
   report: LoadReport | undefined;
   inFlightAtReport: number;
 }
 
-/** Load and health of all backend servers, as this entry sees them. */
+/** Load and health of all backend servers, as seen by this entry. */
 export class ServerPool {
   readonly #states = new Map<BackendId, ServerState>();
-  readonly #leaving = new Set<BackendId>();
+  readonly #draining = new Set<BackendId>();
 
   /** Requests that this entry has in flight at the server. */
   inFlight(id: BackendId): number {
@@ -44,8 +43,8 @@
   }
 
   /**
-   * Expected number of requests at the server: the last report, corrected by
-   * what this entry has sent and ended since then.
+   * Estimated number of requests at the server: the last report, adjusted by the requests that this
+   * entry has started and finished since.
    */
   expectedLoad(id: BackendId): number {
     const state = this.#states.get(id);
@@ -56,36 +55,37 @@
     return Math.max(state.inFlight, reported + since);
   }
 
-  /** Whether the server may get new work. */
+  /** Whether the server may get new requests. */
   isAvailable(id: BackendId, nowMs: number): boolean {
-    if (this.#leaving.has(id)) return false;
-    return this.returnsInMs(id, nowMs) === 0;
+    if (this.#draining.has(id)) return false;
+    return this.availableInMs(id, nowMs) === 0;
   }
 
-  /** Milliseconds until a server that is ejected or rests is used again; 0 when it may be now. */
-  returnsInMs(id: BackendId, nowMs: number): number {
-    const { ejectedUntilMs = 0, restsUntilMs = 0 } = this.#states.get(id) ?? {};
-    return Math.max(0, ejectedUntilMs - nowMs, restsUntilMs - nowMs);
+  /** Milliseconds until neither an ejection nor a backoff applies to a server; 0 if none does. */
+  availableInMs(id: BackendId, nowMs: number): number {
+    const { ejectedUntilMs = 0, backoffUntilMs = 0 } = this.#states.get(id) ??
+      {};
+    return Math.max(0, ejectedUntilMs - nowMs, backoffUntilMs - nowMs);
   }
 
-  /** Whether a server wants nothing now, as it has said. */
-  isResting(id: BackendId, nowMs: number): boolean {
-    return (this.#states.get(id)?.restsUntilMs ?? 0) > nowMs;
+  /** Whether requests are held back because the server has requested a backoff. */
+  isBackingOff(id: BackendId, nowMs: number): boolean {
+    return (this.#states.get(id)?.backoffUntilMs ?? 0) > nowMs;
   }
 
-  /** Notes that a server wants nothing for so long; a shorter rest does not shorten a longer one. */
-  rest(
+  /** Starts the backoff that a server has requested; never shortens one that is in force. */
+  backOff(
     id: BackendId,
     { restMs, nowMs }: { restMs: number; nowMs: number },
   ): void {
     const state = this.#state(id);
-    state.restsUntilMs = Math.max(state.restsUntilMs, nowMs + restMs);
+    state.backoffUntilMs = Math.max(state.backoffUntilMs, nowMs + restMs);
   }
 
-  /** Servers that are leaving and get no new work. */
-  setLeaving(ids: Iterable<BackendId>): void {
-    this.#leaving.clear();
-    for (const id of ids) this.#leaving.add(id);
+  /** Replaces the set of servers that are shutting down and get no new requests. */
+  setDraining(ids: Iterable<BackendId>): void {
+    this.#draining.clear();
+    for (const id of ids) this.#draining.add(id);
   }
 
   /** Counts a request that is about to be sent. */
@@ -93,10 +93,10 @@
     this.#state(id).inFlight += 1;
   }
 
-  /** Counts the end of a request and learns from how it ended. */
+  /** Counts the end of a request and updates the health of its server. */
   end(
     id: BackendId,
-    { outcome, nowMs }: { outcome: TryOutcome; nowMs: number },
+    { outcome, nowMs }: { outcome: AttemptOutcome; nowMs: number },
   ): void {
     const state = this.#state(id);
     state.inFlight -= 1;
@@ -106,21 +106,21 @@
       return;
     }
     state.failures += 1;
-    // A refused connection shows at once that nothing listens there.
+    // A single refused connection is proof that no process listens there.
     if (outcome === "refused" || state.failures >= EJECT_AFTER_FAILURES) {
       this.#eject(state, nowMs);
     }
   }
 
-  /** Takes in a load report. */
+  /** Stores the latest load report of a server. */
   report(id: BackendId, report: LoadReport): void {
     const state = this.#state(id);
     state.report = report;
     state.inFlightAtReport = state.inFlight;
   }
 
-  /** Forgets servers that are no longer declared and idle. */
-  keepOnly(ids: ReadonlySet<BackendId>): void {
+  /** Removes servers that are idle and not among `ids`, the declared ones. */
+  retainOnly(ids: ReadonlySet<BackendId>): void {
     for (const [id, state] of this.#states) {
       if (!ids.has(id) && state.inFlight === 0) this.#states.delete(id);
     }
@@ -128,7 +128,7 @@
 
   #eject(state: ServerState, nowMs: number): void {
     const length = FIRST_EJECTION_MS * 2 ** Math.min(state.ejections, 10);
-    state.ejectedUntilMs = nowMs + Math.min(length, LONGEST_EJECTION_MS);
+    state.ejectedUntilMs = nowMs + Math.min(length, MAX_EJECTION_MS);
     state.ejections += 1;
     state.failures = 0;
   }
@@ -141,7 +141,7 @@
         failures: 0,
         ejections: 0,
         ejectedUntilMs: 0,
-        restsUntilMs: 0,
+        backoffUntilMs: 0,
         report: undefined,
         inFlightAtReport: 0,
       };
--- a/src/core/routing/version_choice.ts
+++ b/src/core/routing/version_choice.ts
@@ -1,24 +1,23 @@
-/** Choice of the version of a model that answers a request. */
+/** Selects the version of a model that answers a request. */
 
 import type { ConfigurationIndex } from "../config/configuration_index.ts";
 import type { Model, ModelVersion } from "../config/configuration.ts";
 
-/** Hash of a text, as a number from 0 up to but not including 1. */
+/** Hashes a text to a number from 0 up to but not including 1. */
 export type UnitHash = (text: string) => number;
 
-/** What the choice depends on. */
 export interface VersionChoiceInput {
   readonly index: ConfigurationIndex;
   readonly model: Model;
-  /** Session id, or the request id where the caller named no session. */
+  /** Session id, or the request id if the caller did not name a session. */
   readonly stickyKey: string;
   readonly unitHash: UnitHash;
 }
 
 /**
- * Returns the versions that may answer, best first. All entries agree on the
- * first, since it depends only on the configuration and the sticky key. A
- * session moves at most once while a roll-out grows, from stable to new.
+ * Returns the versions that may answer, in order of preference. All entries agree on the first one,
+ * since it depends only on the configuration and the sticky key. While a roll-out grows, a session
+ * moves at most once, from the stable version to the new one.
  */
 export function versionsInOrder(input: VersionChoiceInput): ModelVersion[] {
   const { index, model } = input;
--- a/src/entry/address_book.ts
+++ b/src/entry/address_book.ts
@@ -2,14 +2,14 @@
 
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { Member } from "../core/membership/member.ts";
-import type { Chance } from "../core/routing/server_chooser.ts";
+import type { RandomSource } from "../core/routing/server_chooser.ts";
 import type { Addresses } from "../protocol/address_schema.ts";
 import type { Settings } from "../protocol/settings_schema.ts";
 
 interface Deps {
   readonly memberTable: MemberTable;
   readonly settings: Settings;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
 }
 
 /** Addresses of the entry VMs that serve. */
--- a/src/entry/backend_selector.ts
+++ b/src/entry/backend_selector.ts
@@ -186,7 +186,7 @@
     const { serverPool, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     const waits = candidates
-      .map(({ id }) => serverPool.returnsInMs(id, nowMs))
+      .map(({ id }) => serverPool.availableInMs(id, nowMs))
       .filter((waitMs) => waitMs > 0);
     const retryAfterMs = waits.length === 0
       ? RETRY_AFTER_MS
--- a/src/entry/backend_selector_test.ts
+++ b/src/entry/backend_selector_test.ts
@@ -4,7 +4,7 @@
 import { ConfigurationStore } from "../core/config/configuration_store.ts";
 import { FRESH_FOR_MS, Freshness } from "../core/config/freshness.ts";
 import type { BackendId, RequestId, Revision, Sha256 } from "../core/ids.ts";
-import { TwoChoicesChooser } from "../core/routing/server_chooser.ts";
+import { PowerOfTwoChooser } from "../core/routing/server_chooser.ts";
 import { ServerPool } from "../core/routing/server_pool.ts";
 import { entrySettings } from "../../tests/fixtures/entry_settings.ts";
 import { Deadline } from "../runtime/deadline.ts";
@@ -71,7 +71,7 @@
       configurationStore: store,
       freshness,
       serverPool: pool,
-      serverChooser: new TwoChoicesChooser(pool, () => 0),
+      serverChooser: new PowerOfTwoChooser(pool, () => 0),
       settings: entrySettings(),
       clock: { monotonicMs: () => nowMs, wallMs: () => nowMs },
     });
--- a/src/entry/entry_container.ts
+++ b/src/entry/entry_container.ts
@@ -22,7 +22,7 @@
 import { EntryRetryBudget } from "../core/limits/entry_retry_budget.ts";
 import { MemberTable } from "../core/membership/member_table.ts";
 import { ProbeOrder } from "../core/membership/probe_order.ts";
-import { TwoChoicesChooser } from "../core/routing/server_chooser.ts";
+import { PowerOfTwoChooser } from "../core/routing/server_chooser.ts";
 import { ServerPool } from "../core/routing/server_pool.ts";
 import { EntryMetrics } from "../metrics/entry_metrics.ts";
 import { PeerServer } from "../peers/peer_server.ts";
@@ -112,7 +112,7 @@
     retryBudget: asClass(EntryRetryBudget).singleton(),
     inFlightLimits: asValue(new InFlightLimits(limits.max_in_flight)),
     serverChooser: asFunction(({ serverPool, chance }) =>
-      new TwoChoicesChooser(serverPool, chance)
+      new PowerOfTwoChooser(serverPool, chance)
     ).singleton(),
     probeOrder: asFunction(({ chance }) => new ProbeOrder(chance)).singleton(),
     memberTable: asFunction(({ clock }: { clock: Clock }) =>
--- a/src/entry/load_report_follower.ts
+++ b/src/entry/load_report_follower.ts
@@ -60,7 +60,7 @@
   async #ask(server: BackendServer): Promise<void> {
     const { modelServers, serverPool, clock } = this.#deps;
     // One that rests wants nothing, and its load decides nothing meanwhile.
-    if (serverPool.isResting(server.id, clock.monotonicMs())) return;
+    if (serverPool.isBackingOff(server.id, clock.monotonicMs())) return;
     const load = await modelServers.load(server);
     if (!load.ok) return;
     serverPool.report(server.id, {
--- a/src/entry/model_dispatcher.ts
+++ b/src/entry/model_dispatcher.ts
@@ -7,7 +7,10 @@
 import type { EntryRetryBudget } from "../core/limits/entry_retry_budget.ts";
 import type { RequestError } from "../core/request_error.ts";
 import { fail, ok, type Result } from "../core/result.ts";
-import type { ServerPool, TryOutcome } from "../core/routing/server_pool.ts";
+import type {
+  AttemptOutcome,
+  ServerPool,
+} from "../core/routing/server_pool.ts";
 import type { EntryMetrics } from "../metrics/entry_metrics.ts";
 import type { ChatRequest } from "../protocol/chat_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -32,7 +35,7 @@
   readonly target: Target;
   readonly answer: T;
   /** Ends the count of the request at its server. */
-  readonly done: (outcome: TryOutcome) => void;
+  readonly done: (outcome: AttemptOutcome) => void;
 }
 
 /** How an answer is asked for: whole or as a stream. */
@@ -105,7 +108,7 @@
     const { serverPool, clock, entryMetrics } = this.#deps;
     const { server } = target;
     serverPool.begin(server.id);
-    const done = (outcome: TryOutcome) =>
+    const done = (outcome: AttemptOutcome) =>
       serverPool.end(server.id, { outcome, nowMs: clock.monotonicMs() });
     const answer = await ask(modelCall(target, input));
     entryMetrics.tries.inc({
@@ -115,7 +118,7 @@
     done(tryOutcomeOf(answer.error));
     if (answer.error.tag === "rejected") {
       const { restMs } = answer.error;
-      serverPool.rest(server.id, { restMs, nowMs: clock.monotonicMs() });
+      serverPool.backOff(server.id, { restMs, nowMs: clock.monotonicMs() });
     }
     if (answer.error.tag !== "refused") {
       this.#deps.modelServers.cancel(server, input.ctx.requestId);
--- a/src/entry/retry_policy.ts
+++ b/src/entry/retry_policy.ts
@@ -4,7 +4,7 @@
 import { describeBackendError } from "../backends/backend_error.ts";
 import type { EntryRetryBudget } from "../core/limits/entry_retry_budget.ts";
 import type { RequestError } from "../core/request_error.ts";
-import type { TryOutcome } from "../core/routing/server_pool.ts";
+import type { AttemptOutcome } from "../core/routing/server_pool.ts";
 import type { Deadline } from "../runtime/deadline.ts";
 
 /** Statuses that speak of the request, not of the server. */
@@ -30,7 +30,7 @@
 }
 
 /** What a failed try says about the health of its server. */
-export function tryOutcomeOf(err: BackendError): TryOutcome {
+export function tryOutcomeOf(err: BackendError): AttemptOutcome {
   if (err.tag === "refused") return "refused";
   if (err.tag === "aborted") return "answered";
   if (err.tag === "rejected" && !isServersFault(err.status)) return "answered";
--- a/src/entry/service_dispatcher.ts
+++ b/src/entry/service_dispatcher.ts
@@ -125,7 +125,7 @@
     const nowMs = clock.monotonicMs();
     serverPool.end(server.id, { outcome, nowMs });
     if (answer.ok) {
-      serverPool.rest(server.id, { restMs: answer.value.restMs, nowMs });
+      serverPool.backOff(server.id, { restMs: answer.value.restMs, nowMs });
     }
     entryMetrics.tries.inc({
       outcome: answer.ok ? "answered" : answer.error.tag,
--- a/src/entry/vm_list_follower.ts
+++ b/src/entry/vm_list_follower.ts
@@ -99,7 +99,7 @@
   #take(view: VmView): void {
     const { vmViewHolder, serverPool, prober } = this.#deps;
     vmViewHolder.set(view);
-    serverPool.setLeaving(view.leaving);
+    serverPool.setDraining(view.leaving);
     prober.setListed(view.entries);
   }
 }
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -186,7 +186,7 @@
       sessions: this.#sessions(({ here }) => here),
       // Where VMs follow relays, too many would be told to too many.
       holders: promptHolders.shared
-        ? promptHolders.news(clock.monotonicMs())
+        ? promptHolders.holdersToAdvertise(clock.monotonicMs())
         : [],
     };
   }
@@ -220,7 +220,7 @@
     const { memberTable, evidenceBook, promptHolders, relayRole, clock } =
       this.#deps;
     const nowMs = clock.monotonicMs();
-    promptHolders.told(told.holders, nowMs);
+    promptHolders.mergeAdvertised(told.holders, nowMs);
     this.#deps.crashNews.hear(told.crashes, told.self.id);
     this.#deps.limitNews.hear(told.limits, told.self.id);
     for (const life of told.leaving) this.#deps.serverFollower.leaves(life);
--- a/src/fleet/place_borrower.ts
+++ b/src/fleet/place_borrower.ts
@@ -56,7 +56,7 @@
     const { limitAdmission } = this.#deps;
     return servers
       .flatMap((server) =>
-        limitAdmission.lenders(server).map((owner) => ({ server, owner }))
+        limitAdmission.ownersToAsk(server).map((owner) => ({ server, owner }))
       )
       .filter((lender) => !this.#underWay.has(keyOf(lender)));
   }
@@ -84,7 +84,7 @@
     const lent = answer.ok
       ? answer.value
       : { granted: false, opensInMs: SILENT_MS };
-    limitAdmission.borrowed(server, { owner, ...lent });
+    limitAdmission.recordAnswer(server, { owner, ...lent });
     return lent.granted;
   }
 }
--- a/src/fleet/place_lender.ts
+++ b/src/fleet/place_lender.ts
@@ -17,6 +17,6 @@
 
   /** Lends a place out of what this VM may send, if it has one to spare. */
   lend({ instance, bornMs }: PlaceQuestion): PlaceAnswer {
-    return this.#deps.limitAdmission.lend({ instance, bornMs });
+    return this.#deps.limitAdmission.tryGrant({ instance, bornMs });
   }
 }
--- a/src/gateway/cold_server_guard.ts
+++ b/src/gateway/cold_server_guard.ts
@@ -65,7 +65,7 @@
   sending(server: ServerRecord): void {
     if (!this.isCold(server)) return;
     const { coldAdmission, clock } = this.#deps;
-    coldAdmission.sent(server.instance, clock.monotonicMs());
+    coldAdmission.recordSent(server.instance, clock.monotonicMs());
   }
 
   #bears(
@@ -74,7 +74,7 @@
   ): boolean {
     const { coldServers, coldAdmission } = this.#deps;
     if (coldServers.leftMs(instance, nowMs) === 0) return true;
-    return coldAdmission.mayTake(instance, { warmup, nowMs });
+    return coldAdmission.canSend(instance, { warmup, nowMs });
   }
 
   #warmup(service: ServiceId): Warmup | undefined {
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -53,12 +53,12 @@
     parts.serverFollower.start();
     parts.serverFollower.onRemoved(({ instance }) => {
       parts.backendConnections.drop(instance);
-      parts.coldAdmission.forget(instance);
-      parts.limitAdmission.forget(instance);
+      parts.coldAdmission.remove(instance);
+      parts.limitAdmission.remove(instance);
       parts.serverLoads.forget(instance);
       parts.silenceWatch.forgetLongSilent(parts.clock.monotonicMs());
       parts.serverProbe.forget(instance);
-      parts.promptHolders.ended(instance, parts.clock.monotonicMs());
+      parts.promptHolders.recordServerEnd(instance, parts.clock.monotonicMs());
     });
     parts.evacuationFollower.onReturn((servers) =>
       parts.coldServerGuard.presumeCold(servers)
--- a/src/gateway/server_gate.ts
+++ b/src/gateway/server_gate.ts
@@ -3,7 +3,7 @@
 import type { ServiceId } from "../core/ids.ts";
 import type {
   LimitAdmission,
-  SendPlace,
+  SendReservation,
 } from "../core/routing/limit_admission.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
@@ -80,14 +80,15 @@
   }
 
   /** Whether a request that was chosen for a server may still be sent: asked at its first byte. */
-  maySend(server: ServerRecord, place: SendPlace): boolean {
+  maySend(server: ServerRecord, place: SendReservation): boolean {
     const { serverDirectory, serverRests, clock } = this.#deps;
     return serverDirectory.isUsable(server.instance) &&
-      serverRests.leftMs(server, clock.monotonicMs()) === 0 && place.take();
+      serverRests.leftMs(server, clock.monotonicMs()) === 0 &&
+      place.tryAcquire();
   }
 
   /** Counts a request that is about to be sent; returns its place among those of all VMs. */
-  sending(server: ServerRecord): SendPlace {
+  sending(server: ServerRecord): SendReservation {
     const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
       this.#deps;
     coldServerGuard.sending(server);
@@ -131,6 +132,6 @@
 
   #hasRoom(server: ServerRecord): boolean {
     const { serverLimits, limitAdmission } = this.#deps;
-    return serverLimits.isEmpty || limitAdmission.isOpen(server);
+    return serverLimits.isEmpty || limitAdmission.canAcquire(server);
   }
 }
--- a/src/gateway/server_selector.ts
+++ b/src/gateway/server_selector.ts
@@ -81,7 +81,7 @@
     const { promptHolders, clock } = this.#deps;
     const key = promptKeyOf(head, model);
     if (key === undefined) return false;
-    return promptHolders.of(key, clock.monotonicMs()).has(instance);
+    return promptHolders.holdersOf(key, clock.monotonicMs()).has(instance);
   }
 
   /** Returns the server to use; undefined when none takes new work. */
@@ -154,7 +154,7 @@
       affinity: promptKeyOf(selection.head, selection.model),
       dataCentre,
       tried: selection.tried,
-      limited: serverGate.limited(candidates),
+      rateLimited: serverGate.limited(candidates),
       sharedMs: selection.sharedMs,
       nowMs: clock.monotonicMs(),
     });
--- a/src/gateway/try_observer.ts
+++ b/src/gateway/try_observer.ts
@@ -63,7 +63,7 @@
     serverLoads.begin(instance, work.readMs + work.writeMs);
     const key = promptKeyOf(head, record.model);
     if (key !== undefined) {
-      promptHolders.sent({ key, instance }, clock.monotonicMs());
+      promptHolders.recordSent({ key, instance }, clock.monotonicMs());
     }
     const session = sessionOf(head);
     if (session === undefined) return;
--- a/tests/entry_rest_test.ts
+++ b/tests/entry_rest_test.ts
@@ -47,10 +47,10 @@
 
   it("should be available again after its rest, whatever shorter one it asks for", () => {
     const pool = new ServerPool();
-    pool.rest(ID, { restMs: REST_MS, nowMs: 0 });
-    pool.rest(ID, { restMs: 10, nowMs: 0 });
+    pool.backOff(ID, { restMs: REST_MS, nowMs: 0 });
+    pool.backOff(ID, { restMs: 10, nowMs: 0 });
     assert.equal(pool.isAvailable(ID, REST_MS - 1), false);
-    assert.equal(pool.returnsInMs(ID, REST_MS - 1), 1);
+    assert.equal(pool.availableInMs(ID, REST_MS - 1), 1);
     assert.equal(pool.isAvailable(ID, REST_MS), true);
   });
 
