--- a/src/core/routing/affinity_choice_test.ts
+++ b/src/core/routing/affinity_choice_test.ts
@@ -23,11 +23,11 @@
 beforeEach(() => {
   loads = new ServerLoads();
   holders = new PromptHolders();
-  // What others sent is not told, so that the ring alone decides.
+  // Without holders advertised by other VMs, only the ring decides.
   holders.setShared(false);
 });
 
-/** Chooses as one VM does, with a draw by chance that is always the same. */
+/** Selects a server as one VM would; `draw` is the result of every random draw. */
 function choose(patch: Partial<ChoiceInput> = {}, draw = 0.5): string {
   const choice = new AffinityChoice({
     serverLoads: loads,
@@ -49,13 +49,13 @@
 }
 
 describe("affinity choice", () => {
-  it("should choose the same server for a prompt on every VM, whatever its place", () => {
+  it("should choose the same server for a prompt regardless of data centre and candidate order", () => {
     const first = choose();
     assert.equal(choose({ dataCentre: "south" as DataCentreId }), first);
     assert.equal(choose({ candidates: [...SERVERS].reverse() }), first);
   });
 
-  it("should choose different servers by chance where those of a prompt are busy", () => {
+  it("should choose random servers if those of the prompt are busy", () => {
     const first = choose();
     loads.begin(first as InstanceId, 5_000);
     const second = choose();
@@ -65,13 +65,13 @@
     assert.equal(new Set(draws).size, draws.length);
   });
 
-  it("should stay with a server that is a little busier than others", () => {
+  it("should stay with a server that is slightly busier than others", () => {
     const first = choose();
     loads.begin(first as InstanceId, 30);
     assert.equal(choose(), first);
   });
 
-  it("should spread the prompts evenly enough", () => {
+  it("should spread prompts evenly over all servers", () => {
     const counts = new Map<string, number>();
     for (let n = 0; n < 6_000; n++) {
       const server = choose({ affinity: `part-${n}` });
@@ -81,7 +81,7 @@
     assert.ok(Math.max(...counts.values()) < 2 * 6_000 / SERVERS.length);
   });
 
-  it("should leave servers out that are avoided or tried, unless all are", () => {
+  it("should skip tried servers, and ejected ones unless all are ejected", () => {
     const first = choose();
     const second = choose({ tried: new Set([first as InstanceId]) });
     assert.notEqual(second, first);
@@ -91,7 +91,7 @@
     assert.equal(choose(), first);
   });
 
-  it("should go to the server that holds the prompt, wherever the ring has it", () => {
+  it("should choose the server that has the prompt cached over those on the ring", () => {
     const holder = SERVERS.find(({ instance }) => instance !== choose());
     assert.ok(holder);
     holders.recordSent({ key: "part", instance: holder.instance }, 0);
@@ -99,7 +99,7 @@
     assert.equal(choose(), holder.instance);
   });
 
-  it("should read a prompt that nobody holds on a server with time for it", () => {
+  it("should choose a less busy server if no server has the prompt cached", () => {
     holders.setShared(true);
     const first = choose();
     loads.begin(first as InstanceId, 30);
@@ -108,7 +108,7 @@
     assert.equal(choose(), first);
   });
 
-  it("should choose the least busy server where prompts do not matter", () => {
+  it("should choose the least busy server for a request without affinity", () => {
     for (const { instance } of SERVERS) loads.begin(instance, 500);
     loads.end("i-4" as InstanceId, 400);
     assert.equal(choose({ affinity: undefined }), "i-4");
--- a/src/core/routing/cold_admission_test.ts
+++ b/src/core/routing/cold_admission_test.ts
@@ -1,9 +1,9 @@
 /**
- * Many VMs before servers of a data centre that come back together, cold. Seen before: "cold
- * server got 26 requests in one second; allowed 24.5", as each VM by itself found the servers
- * that had nothing to do the best. Figures of the pattern are those of the users' shifted
- * deployment: 65 VMs, 26 of 78 servers cold for 3 s, which bear 13 requests a second and may
- * get 1.5 times as many and 5 more.
+ * Many VMs send to the servers of a data centre that return together, cold. Guards against "cold
+ * server got 26 requests in one second; allowed 24.5", which happened because each VM on its own
+ * rated the idle servers best. Figures are those of the users' shifted deployment: 65 VMs, and 26
+ * of 78 servers cold for 3 s, which sustain 13 requests per second and may get 1.5 times as many
+ * and 5 more.
  */
 
 import assert from "node:assert/strict";
@@ -16,8 +16,8 @@
 const VMS = 65;
 const SERVERS = 26;
 const WARMUP = { durationMs: 3_000, requestsPerSecond: 13 };
-const MOST_IN_A_SECOND = 24.5;
-/** Long enough that VMs know each other; their clocks start there. */
+const MAX_PER_SECOND = 24.5;
+/** Age of the VMs at the start of a test: long enough for them to own servers. */
 const SETTLED_MS = 5_000;
 const STEP_MS = 10;
 
@@ -27,7 +27,7 @@
   (_, at) => `i-${at}` as InstanceId,
 );
 
-/** A VM that started `ageMs` before the servers turned cold. */
+/** Creates the admission of a VM that started `ageMs` before the servers turned cold. */
 function vm(
   id: EntryId,
   { known = IDS, ageMs = SETTLED_MS, isAlone = false }: {
@@ -48,10 +48,10 @@
 }
 
 /**
- * Lets each VM send all that it may while the servers are cold, in an order drawn anew for
- * each step; returns the requests of each server by time.
+ * Lets each VM send as many requests as it may while the servers are cold. In each step a VM tries
+ * the servers from a random one on. Returns the times of the requests to each server.
  */
-function press(
+function applyLoad(
   vms: readonly ColdAdmission[],
   chance: () => number,
 ): number[][] {
@@ -72,7 +72,7 @@
   return sent;
 }
 
-function mostInASecond(times: readonly number[]): number {
+function maxPerSecond(times: readonly number[]): number {
   return Math.max(
     0,
     ...times.map((from) =>
@@ -81,20 +81,20 @@
   );
 }
 
-function busiest(sent: readonly number[][]): number {
-  return Math.max(...sent.map(mostInASecond));
+function peakRate(sent: readonly number[][]): number {
+  return Math.max(...sent.map(maxPerSecond));
 }
 
 describe("admission to cold servers", () => {
   it("should bound what all VMs together send to a server in any second", () => {
     const vms = IDS.map((id) => vm(id));
-    const sent = press(vms, seededChance(1));
-    assert.ok(busiest(sent) <= WARMUP.requestsPerSecond, `${busiest(sent)}`);
-    // And give it nearly what it bears, where there is so much to do.
+    const sent = applyLoad(vms, seededChance(1));
+    assert.ok(peakRate(sent) <= WARMUP.requestsPerSecond, `${peakRate(sent)}`);
+    // Under this load each server also gets nearly the rate that it can sustain.
     for (const times of sent) assert.ok(times.length >= 24, `${times.length}`);
   });
 
-  it("should hold where each VM misses a tenth of the others", () => {
+  it("should stay within the bound if each VM does not know a tenth of the others", () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const chance = seededChance(seed);
       const vms = IDS.map((id) =>
@@ -102,49 +102,49 @@
           known: IDS.filter((other) => other === id || chance() > 0.1),
         })
       );
-      const most = busiest(press(vms, chance));
-      assert.ok(most <= MOST_IN_A_SECOND, `seed ${seed}: ${most}`);
+      const most = peakRate(applyLoad(vms, chance));
+      assert.ok(most <= MAX_PER_SECOND, `seed ${seed}: ${most}`);
     }
   });
 
-  it("should hold where VMs have been added that few know yet", () => {
+  it("should stay within the bound if few VMs know those added recently", () => {
     const known = IDS.slice(0, VMS - 10);
     const vms = IDS.map((id, at) => vm(id, { known: at % 2 ? IDS : known }));
-    const most = busiest(press(vms, seededChance(1)));
-    assert.ok(most <= MOST_IN_A_SECOND, `${most}`);
+    const most = peakRate(applyLoad(vms, seededChance(1)));
+    assert.ok(most <= MAX_PER_SECOND, `${most}`);
   });
 
-  it("should hold where all VMs start at once and know nobody", () => {
+  it("should send nothing if all VMs start together and know no others", () => {
     const vms = IDS.map((id) => vm(id, { known: [id], ageMs: 0 }));
-    assert.equal(busiest(press(vms, seededChance(1))), 0);
+    assert.equal(peakRate(applyLoad(vms, seededChance(1))), 0);
   });
 
-  it("should hold where half of the VMs have started within the second", () => {
+  it("should stay within the bound if half of the VMs have just started", () => {
     const vms = IDS.map((id, at) =>
       at % 2 === 0 ? vm(id) : vm(id, { known: [id], ageMs: 500 })
     );
-    const most = busiest(press(vms, seededChance(1)));
-    assert.ok(most <= MOST_IN_A_SECOND, `${most}`);
+    const most = peakRate(applyLoad(vms, seededChance(1)));
+    assert.ok(most <= MAX_PER_SECOND, `${most}`);
   });
 
-  it("should hold where no VM hears another for long", () => {
-    // Each took itself for an owner of all servers once it had settled: 130 in a second.
+  it("should stay within the bound if VMs cannot reach each other for long", () => {
+    // Guards against each VM owning all servers after its settle time: 130 requests in one second.
     const vms = IDS.map((id) => vm(id, { known: [id], isAlone: true }));
-    const most = busiest(press(vms, seededChance(1)));
-    assert.ok(most <= MOST_IN_A_SECOND, `${most}`);
+    const most = peakRate(applyLoad(vms, seededChance(1)));
+    assert.ok(most <= MAX_PER_SECOND, `${most}`);
   });
 
-  it("should let a lone VM use its servers", () => {
+  it("should let a single VM use its servers", () => {
     const id = IDS[0] as EntryId;
-    const sent = press([vm(id, { known: [id] })], seededChance(1));
-    assert.ok(busiest(sent) > 0);
+    const sent = applyLoad([vm(id, { known: [id] })], seededChance(1));
+    assert.ok(peakRate(sent) > 0);
   });
 
-  it("should give at least one request to a server that bears less than there are owners", () => {
+  it("should give a slow server as many owners as it sustains requests per second", () => {
     const slow = { durationMs: 3_000, requestsPerSecond: 2 };
-    const takers = IDS.map((id) => vm(id)).filter((admission) =>
+    const senders = IDS.map((id) => vm(id)).filter((admission) =>
       admission.canSend(INSTANCES[0] as InstanceId, { warmup: slow, nowMs: 0 })
     );
-    assert.equal(takers.length, 2);
+    assert.equal(senders.length, 2);
   });
 });
--- a/src/core/routing/hash_ring_test.ts
+++ b/src/core/routing/hash_ring_test.ts
@@ -11,7 +11,7 @@
 }
 
 describe("hash ring", () => {
-  it("should find the same servers in whatever order they are given", () => {
+  it("should find the same servers regardless of their order", () => {
     for (let n = 0; n < 50; n++) {
       const found = nearest(SERVERS, `key-${n}`);
       assert.equal(new Set(found).size, 3);
@@ -19,15 +19,15 @@
     }
   });
 
-  it("should move only the keys of a server that is gone", () => {
+  it("should move only the keys of a removed server", () => {
     for (let n = 0; n < 50; n++) {
       const [first, second, third] = nearest(SERVERS, `key-${n}`);
-      const left = SERVERS.filter((id) => id !== first);
-      assert.deepEqual(nearest(left, `key-${n}`, 2), [second, third]);
+      const remaining = SERVERS.filter((id) => id !== first);
+      assert.deepEqual(nearest(remaining, `key-${n}`, 2), [second, third]);
     }
   });
 
-  it("should find all servers where there are fewer than asked for", () => {
+  it("should find all servers if there are fewer than requested", () => {
     assert.deepEqual(nearest(["a"], "key"), ["a"]);
     assert.deepEqual(nearest([], "key"), []);
   });
--- a/src/core/routing/herd_test.ts
+++ b/src/core/routing/herd_test.ts
@@ -10,7 +10,7 @@
 import { serverRecord } from "../../../tests/fixtures/server_record.ts";
 
 const VMS = 20;
-const NEWS_EVERY_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 const STEP_MS = 50;
 const WORK_MS = 100;
 const SHARED_MS = 60;
@@ -25,15 +25,16 @@
 type Choose = (vm: ServerLoads, prompt: string) => InstanceId;
 
 /**
- * Plays VMs that hear of each other's work once a second. Servers do a millisecond of work
- * each millisecond, and are asked for half of what they can do. Returns the longest queue.
+ * Simulates VMs that learn of each other's load once a second. Servers do one millisecond of work
+ * per millisecond and are loaded to half of their capacity. Returns the longest queue, in
+ * milliseconds of work.
  */
-function play(choose: Choose, chance: () => number): number {
+function simulate(choose: Choose, chance: () => number): number {
   const vms = Array.from({ length: VMS }, () => new ServerLoads());
   const queues = new Map<InstanceId, number>();
   let longest = 0;
   for (let nowMs = 0; nowMs < DURATION_MS; nowMs += STEP_MS) {
-    if (nowMs % NEWS_EVERY_MS === 0) tellAll(vms, queues);
+    if (nowMs % REPORT_INTERVAL_MS === 0) reportLoads(vms, queues);
     for (const vm of vms) {
       if (chance() > SERVERS.length * STEP_MS / (2 * VMS * WORK_MS)) continue;
       const instance = choose(vm, `${Math.floor(chance() * 1e6)}`);
@@ -49,8 +50,8 @@
   return longest;
 }
 
-/** Each VM hears how busy servers are, and forgets what it sent before. */
-function tellAll(
+/** Replaces the loads known to each VM, including those of its own requests, by current ones. */
+function reportLoads(
   vms: readonly ServerLoads[],
   queues: ReadonlyMap<InstanceId, number>,
 ): void {
@@ -72,11 +73,11 @@
   );
 }
 
-describe("choice by many VMs with late news", () => {
-  it("should not send all VMs to the server that was least busy", () => {
+describe("affinity choice by many VMs with delayed load reports", () => {
+  it("should not let all VMs choose the server last reported as least busy", () => {
     const chance = seededChance(SEED);
     const choices = new Map<ServerLoads, AffinityChoice>();
-    const longest = play((serverLoads, affinity) => {
+    const longest = simulate((serverLoads, affinity) => {
       const choice = choices.get(serverLoads) ?? new AffinityChoice({
         serverLoads,
         promptHolders: new PromptHolders(),
@@ -96,7 +97,7 @@
       assert.ok(server);
       return server.instance;
     }, chance);
-    const herded = play(leastBusy, seededChance(SEED));
+    const herded = simulate(leastBusy, seededChance(SEED));
     assert.ok(longest <= 8 * WORK_MS, `longest queue ${longest} ms`);
     assert.ok(longest < herded / 2, `${longest} ms, herded ${herded} ms`);
   });
--- a/src/core/routing/limit_admission_test.ts
+++ b/src/core/routing/limit_admission_test.ts
@@ -1,7 +1,7 @@
 /**
- * Many VMs before a server that names how much it takes from all of them together. Seen before: a
- * server that had named 1.3 a second got 15 requests in 4 s, where 13 are allowed. The same is
- * shown for fleets of 1 to 195 VMs, with views that differ, and as far as the limit is used.
+ * Many VMs send to a server that advertises a request rate limit across all of them. Guards against
+ * a server with a limit of 1.3 requests per second getting 15 requests in 4 s, of 13 allowed. Covers
+ * fleets of 1 to 195 VMs with differing membership views, and how far the limit is used.
  */
 
 import assert from "node:assert/strict";
@@ -23,14 +23,14 @@
 const FLEETS = [1, 7, 65, 195];
 const LIMITS = [0, 0.4, 2, 20];
 const SEEDS = [1, 2];
-/** Long enough that VMs know each other. */
+/** Long enough for VMs to own servers. */
 const SETTLED_MS = 5_000;
-const PRESSED_MS = 12_000;
-/** Steps of small and of large fleets. */
+const LOAD_MS = 12_000;
+/** Time steps of the simulation for small and for large fleets. */
 const FINE_STEP_MS = 10;
 const STEP_MS = 40;
-const SMALL_FLEET = 7;
-const REPLACED_EVERY_MS = 500;
+const SMALL_FLEET_VMS = 7;
+const REPLACE_INTERVAL_MS = 500;
 const SERVER = serverRecord("i-1", { bornMs: 5 });
 
 let nowMs: number;
@@ -44,7 +44,7 @@
   return testMember(`edge-${at}`);
 }
 
-/** One VM, and the others as it knows them; both may change. */
+/** A VM with its view of the fleet, which may change. */
 class Vm {
   readonly limits = new ServerLimits();
   readonly unacked = new UnackedAttempts();
@@ -71,28 +71,28 @@
     return this.self.id;
   }
 
-  /** Asks owners for a place until one lends it. */
+  /** Asks owners for a permit until one grants it. */
   borrow(others: ReadonlyMap<EntryId, Vm>): void {
     for (const owner of this.admission.ownersToAsk(SERVER)) {
-      const lent = others.get(owner)?.admission.tryGrant(SERVER);
-      if (lent === undefined) continue;
-      this.admission.recordAnswer(SERVER, { owner, ...lent });
-      if (lent.granted) return;
+      const answer = others.get(owner)?.admission.tryGrant(SERVER);
+      if (answer === undefined) continue;
+      this.admission.recordAnswer(SERVER, { owner, ...answer });
+      if (answer.granted) return;
     }
   }
 
-  hear(limitPerS: number | undefined): void {
+  receiveLimit(limitPerS: number | undefined): void {
     this.limits.hear({ life: SERVER, limitPerS, atMs: nowMs });
   }
 
-  /** Sends one request if it may; returns whether it did. */
+  /** Sends a request if a permit is available; returns whether it did. */
   send(): boolean {
     if (!this.admission.canAcquire(SERVER)) return false;
     return this.admission.reserve(SERVER).tryAcquire();
   }
 }
 
-/** A server that does not read what it is sent while it is stopped. */
+/** A server that does not read requests while it is stopped. */
 class StoppableServer {
   readonly arrivedMs: number[] = [];
   readonly #stop: { readonly fromMs: number; readonly untilMs: number };
@@ -102,19 +102,19 @@
     this.#stop = stop;
   }
 
-  /** Takes a request that a VM sends now. */
-  take({ unacked }: Vm): void {
+  /** Receives a request that a VM sends now. */
+  receive({ unacked }: Vm): void {
     const sentMs = nowMs;
     unacked.sent(SERVER, { nowMs, onAcked: () => {} });
     this.#unread.push(() => {
       this.arrivedMs.push(nowMs);
       unacked.answered(SERVER, sentMs);
     });
-    this.readOn();
+    this.readPending();
   }
 
-  /** Reads all that has come, unless it is stopped now. */
-  readOn(): void {
+  /** Reads all pending requests unless the server is stopped now. */
+  readPending(): void {
     const { fromMs, untilMs } = this.#stop;
     if (nowMs >= fromMs && nowMs < untilMs) return;
     for (const read of this.#unread.splice(0)) read();
@@ -126,29 +126,32 @@
   return members.map((self) => new Vm(self, members));
 }
 
-/** All VMs hear a limit, and send whatever they may for so long; returns when they sent. */
-function press(
+/**
+ * Gives all VMs a limit and lets them send as many requests as they may for `forMs`. Returns the
+ * times at which requests were sent.
+ */
+function applyLoad(
   vms: readonly Vm[],
   {
     limitPerS,
     chance,
-    forMs = PRESSED_MS,
-    each = () => {},
+    forMs = LOAD_MS,
+    onStep = () => {},
     onSent = () => {},
   }: {
     limitPerS: number;
     chance: () => number;
     forMs?: number;
-    each?: () => void;
+    onStep?: () => void;
     onSent?: (vm: Vm) => void;
   },
 ): number[] {
-  for (const vm of vms) vm.hear(limitPerS);
+  for (const vm of vms) vm.receiveLimit(limitPerS);
   const sentMs: number[] = [];
   const endMs = nowMs + forMs;
-  const stepMs = vms.length <= SMALL_FLEET ? FINE_STEP_MS : STEP_MS;
+  const stepMs = vms.length <= SMALL_FLEET_VMS ? FINE_STEP_MS : STEP_MS;
   for (; nowMs < endMs; nowMs += stepMs) {
-    each();
+    onStep();
     const first = Math.floor(chance() * vms.length);
     for (const offset of vms.keys()) {
       const vm = vms[(first + offset) % vms.length];
@@ -161,27 +164,27 @@
   return sentMs;
 }
 
-describe("admission to servers that name a limit", () => {
+describe("admission to rate-limited servers", () => {
   for (const count of FLEETS) {
-    it(`should bound what ${count} VMs send in any four seconds, and use what is named`, () => {
+    it(`should bound what ${count} VMs send in any four seconds, and use the limit`, () => {
       for (const limitPerS of LIMITS) {
         nowMs = 0;
         const vms = fleetOf(count);
         nowMs = SETTLED_MS;
         const chance = seededChance(count);
-        const sentMs = press(vms, { limitPerS, chance, forMs: 30_000 });
+        const sentMs = applyLoad(vms, { limitPerS, chance, forMs: 30_000 });
         const most = mostInSpan(sentMs);
         assert.ok(most <= allowedInSpan(limitPerS), `${limitPerS}: ${most}`);
-        // The first of each part comes after its whole interval.
-        const named = limitPerS * 30;
+        // Each owner gets its first permit after a full interval.
+        const limit = limitPerS * 30;
         assert.ok(
-          sentMs.length >= 0.9 * named - limitPerS - 2,
-          `${limitPerS}: ${sentMs.length} of ${named} used`,
+          sentMs.length >= 0.9 * limit - limitPerS - 2,
+          `${limitPerS}: ${sentMs.length} of ${limit} used`,
         );
       }
     });
 
-    it(`should hold where each of ${count} VMs misses a tenth of the others`, () => {
+    it(`should stay within the bound if each of ${count} VMs does not know a tenth of the others`, () => {
       for (const limitPerS of LIMITS) {
         for (const seed of SEEDS) {
           nowMs = 0;
@@ -191,7 +194,7 @@
             vm.known = vm.known.filter(() => chance() > 0.1);
           }
           nowMs = SETTLED_MS;
-          const most = mostInSpan(press(vms, { limitPerS, chance }));
+          const most = mostInSpan(applyLoad(vms, { limitPerS, chance }));
           const allowed = allowedInSpan(limitPerS);
           assert.ok(most <= allowed, `${limitPerS}, seed ${seed}: ${most}`);
         }
@@ -199,7 +202,7 @@
     });
   }
 
-  it("should bound what a server reads in any four seconds that was stopped", () => {
+  it("should bound what a server that was stopped reads in any four seconds", () => {
     for (const count of FLEETS) {
       for (const limitPerS of LIMITS) {
         for (const stopMs of [6_000, 30_000]) {
@@ -211,12 +214,12 @@
             untilMs: fromMs + stopMs,
           });
           nowMs = SETTLED_MS;
-          press(vms, {
+          applyLoad(vms, {
             limitPerS,
             chance: seededChance(count),
             forMs: 20_000 + stopMs,
-            each: () => server.readOn(),
-            onSent: (vm) => server.take(vm),
+            onStep: () => server.readPending(),
+            onSent: (vm) => server.receive(vm),
           });
           const most = mostInSpan(server.arrivedMs);
           const allowed = allowedInSpan(limitPerS);
@@ -227,19 +230,19 @@
     }
   });
 
-  it("should be used as named where all work comes to one VM, by what owners lend", () => {
+  it("should let one VM use most of the limit by borrowing from owners", () => {
     for (const count of [7, 65, 195]) {
       nowMs = 0;
       const vms = fleetOf(count);
       const byId = new Map(vms.map((vm) => [vm.id, vm]));
       nowMs = SETTLED_MS;
       const borrower = vms[0] as Vm;
-      const sentMs = press([borrower], {
+      const sentMs = applyLoad([borrower], {
         limitPerS: 2,
         chance: seededChance(1),
         forMs: 30_000,
-        each: () => {
-          for (const vm of vms) vm.hear(2);
+        onStep: () => {
+          for (const vm of vms) vm.receiveLimit(2);
           borrower.borrow(byId);
         },
       });
@@ -249,49 +252,54 @@
     }
   });
 
-  it("should bound what all VMs send that also borrow from each other", () => {
+  it("should bound what all VMs send while they borrow from each other", () => {
     for (const count of [7, 65]) {
       nowMs = 0;
       const vms = fleetOf(count);
       const byId = new Map(vms.map((vm) => [vm.id, vm]));
       nowMs = SETTLED_MS;
       const chance = seededChance(2);
-      const each = () => {
+      const onStep = () => {
         for (const vm of vms) if (chance() < 0.2) vm.borrow(byId);
       };
-      const sentMs = press(vms, { limitPerS: 2, chance, forMs: 20_000, each });
+      const sentMs = applyLoad(vms, {
+        limitPerS: 2,
+        chance,
+        forMs: 20_000,
+        onStep,
+      });
       const most = mostInSpan(sentMs);
       assert.ok(most <= allowedInSpan(2), `${count}: ${most}`);
     }
   });
 
-  it("should be used by who has work after all others had", () => {
-    // Found by a trial with 65 VMs: after all of them had waited for places, one that went on alone
-    // used none for eight seconds. Owners had told each a later turn than the one before, up to ten
-    // seconds ahead, and VMs whose callers had left did not come for theirs.
+  it("should let a VM with load use the limit after all VMs have competed for it", () => {
+    // Guards against a VM that gets no permit for eight seconds after 65 VMs have waited for one.
+    // Owners gave each VM a later turn than the one before, up to ten seconds ahead, and VMs whose
+    // callers had disconnected did not use their turns.
     for (const count of [7, 65, 195]) {
       nowMs = 0;
       const vms = fleetOf(count);
       const byId = new Map(vms.map((vm) => [vm.id, vm]));
       nowMs = SETTLED_MS;
       const chance = seededChance(4);
-      const hear = () => {
-        for (const vm of vms) vm.hear(2);
+      const receiveLimits = () => {
+        for (const vm of vms) vm.receiveLimit(2);
       };
-      press(vms, {
+      applyLoad(vms, {
         limitPerS: 2,
         chance,
-        each: () => {
+        onStep: () => {
           for (const vm of vms) if (chance() < 0.2) vm.borrow(byId);
         },
       });
       for (const alone of vms.slice(0, 3)) {
-        const sentMs = press([alone], {
+        const sentMs = applyLoad([alone], {
           limitPerS: 2,
           chance,
           forMs: 8_000,
-          each: () => {
-            hear();
+          onStep: () => {
+            receiveLimits();
             alone.borrow(byId);
           },
         });
@@ -300,13 +308,13 @@
     }
   });
 
-  it("should lend nothing of which an owner has nothing left, and say when it will", () => {
+  it("should refuse a permit if the owner has none left, and report when to retry", () => {
     const [vm] = fleetOf(1);
     nowMs = SETTLED_MS;
-    vm?.hear(1);
+    vm?.receiveLimit(1);
     const first = vm?.admission.tryGrant(SERVER);
     const second = vm?.admission.tryGrant(SERVER);
-    // Who asks later is told a later time, as the first is to come back before.
+    // A later caller gets a later time, since the first one has its turn before.
     assert.deepEqual([first?.granted, second?.granted], [false, false]);
     assert.ok((second?.opensInMs ?? 0) >= (first?.opensInMs ?? 0) + 1_000);
     nowMs += first?.opensInMs ?? 0;
@@ -314,10 +322,10 @@
     assert.equal(vm?.admission.canAcquire(SERVER), false);
   });
 
-  it("should not let a place be used long after it was lent", () => {
+  it("should not use a borrowed permit after it has expired", () => {
     const [vm] = fleetOf(7);
     nowMs = SETTLED_MS;
-    vm?.hear(1);
+    vm?.receiveLimit(1);
     const owner = "edge-6" as EntryId;
     vm?.admission.recordAnswer(SERVER, { owner, granted: true, opensInMs: 0 });
     assert.equal(vm?.admission.canAcquire(SERVER), true);
@@ -325,42 +333,42 @@
     assert.equal(vm?.send(), false);
   });
 
-  it("should give a place back that was not used, and count none that was withheld", () => {
+  it("should return an unused reservation, and not count a refused request", () => {
     const [vm] = fleetOf(1);
     nowMs = SETTLED_MS;
-    vm?.hear(1);
+    vm?.receiveLimit(1);
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
-    const place = vm?.admission.reserve(SERVER);
+    const reservation = vm?.admission.reserve(SERVER);
     assert.equal(vm?.admission.canAcquire(SERVER), false);
-    place?.release();
-    place?.release();
+    reservation?.release();
+    reservation?.release();
     assert.equal(vm?.send(), true);
     assert.equal(vm?.send(), false);
   });
 
-  it("should find nothing saved where a limit begins anew", () => {
+  it("should start with an empty bucket when a limit is advertised again", () => {
     const [vm] = fleetOf(1);
     nowMs = SETTLED_MS;
-    vm?.hear(1);
+    vm?.receiveLimit(1);
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
     vm?.limits.namesNone(SERVER, nowMs);
     assert.equal(vm?.admission.canAcquire(SERVER), true);
     nowMs += 5_000;
-    vm?.hear(1);
+    vm?.receiveLimit(1);
     assert.equal(vm?.send(), false);
   });
 
   for (const count of [7, 65, 195]) {
-    it(`should hold where of ${count} VMs one goes and one comes each half second`, () => {
+    it(`should stay within the bound if one of ${count} VMs is replaced each half second`, () => {
       for (const limitPerS of [0.4, 2, 20]) {
         nowMs = 0;
         const chance = seededChance(count);
         const vms = fleetOf(count);
         nowMs = SETTLED_MS;
-        const each = replaceNowAndThen(vms, { limitPerS, chance });
-        const sentMs = press(vms, { limitPerS, chance, each });
+        const onStep = replacePeriodically(vms, { limitPerS, chance });
+        const sentMs = applyLoad(vms, { limitPerS, chance, onStep });
         const most = mostInSpan(sentMs);
         const allowed = allowedInSpan(limitPerS);
         assert.ok(most <= allowed, `${limitPerS}: ${most}`);
@@ -369,20 +377,20 @@
   }
 });
 
-/** Takes VMs away and adds others that know all; of the rest, half hear of each change. */
-function replaceNowAndThen(
+/** Replaces VMs by new ones that know the whole fleet; half of the others learn of each change. */
+function replacePeriodically(
   vms: Vm[],
   { limitPerS, chance }: { limitPerS: number; chance: () => number },
 ): () => void {
   let next = vms.length;
-  let changedMs = nowMs;
+  let replacedMs = nowMs;
   return () => {
-    if (nowMs - changedMs < REPLACED_EVERY_MS) return;
-    changedMs = nowMs;
+    if (nowMs - replacedMs < REPLACE_INTERVAL_MS) return;
+    replacedMs = nowMs;
     vms.splice(Math.floor(chance() * vms.length), 1);
     const self = member(next++);
     const newcomer = new Vm(self, [...vms.map((vm) => vm.self), self]);
-    newcomer.hear(limitPerS);
+    newcomer.receiveLimit(limitPerS);
     vms.push(newcomer);
     const fleet = vms.map((vm) => vm.self);
     for (const vm of vms) {
--- a/src/core/routing/permit_borrowing_test.ts
+++ b/src/core/routing/permit_borrowing_test.ts
@@ -1,6 +1,7 @@
 /**
- * Places at a limited server that VMs lend each other over a network that delays and loses: what is
- * sent in any four seconds stays below what the users allow, and is about what the server names.
+ * VMs borrow permits for a rate-limited server from each other over a network that delays and loses
+ * messages. The requests sent in any four seconds must stay within the allowed bound and use a good
+ * part of the limit.
  */
 
 import assert from "node:assert/strict";
@@ -21,47 +22,47 @@
 
 const SERVER = serverRecord("i-1", { bornMs: 5 });
 const STEP_MS = 20;
-/** Long enough that VMs know each other. */
+/** Long enough for VMs to own servers. */
 const SETTLED_MS = 5_000;
-const PRESSED_MS = 14_000;
-/** Requests a second and VM up to which half of what is named is to be used. */
-const MOST_PER_VM = 4;
-/** Longest wait of a VM for the answer of an owner. */
-const ASKED_MS = 150;
+const LOAD_MS = 14_000;
+/** Highest limit per VM, in requests per second, for which half of it must be used. */
+const MAX_LIMIT_PER_VM = 4;
+/** Time-out of a VM that waits for the answer of an owner. */
+const ANSWER_TIMEOUT_MS = 150;
 
-interface Play {
+interface Scenario {
   readonly vms: number;
   readonly limitPerS: number;
   readonly seed: number;
-  /** Part of the questions and answers that are lost. */
-  readonly lost: number;
-  /** Longest time of a question or an answer on its way. */
-  readonly delayMs: number;
-  /** Part of the VMs to which callers come. */
-  readonly busy: number;
+  /** Fraction of permit requests and answers that are lost. */
+  readonly lossRate: number;
+  /** Maximum transit time of a permit request or an answer. */
+  readonly maxDelayMs: number;
+  /** Fraction of the VMs that get requests from callers. */
+  readonly busyFraction: number;
 }
 
 interface Message {
   readonly atMs: number;
-  readonly arrive: () => void;
+  readonly deliver: () => void;
 }
 
-/** A fleet under one server, with messages on their way. */
+/** A fleet that sends to one server, with messages in transit. */
 class Fleet {
   nowMs = 0;
   readonly sentMs: number[] = [];
-  readonly #play: Play;
+  readonly #scenario: Scenario;
   readonly #chance: () => number;
   readonly #vms = new Map<EntryId, LimitAdmission>();
   readonly #limits: ServerLimits[] = [];
   readonly #asking = new Set<string>();
   #messages: Message[] = [];
 
-  constructor(play: Play) {
-    this.#play = play;
-    this.#chance = seededChance(play.seed);
+  constructor(scenario: Scenario) {
+    this.#scenario = scenario;
+    this.#chance = seededChance(scenario.seed);
     const members = Array.from(
-      { length: play.vms },
+      { length: scenario.vms },
       (_, at) => testMember(`edge-${at}`),
     );
     for (const self of members) {
@@ -86,19 +87,22 @@
     this.nowMs = SETTLED_MS;
   }
 
-  /** Lets callers come to the busy VMs for as long as a play lasts. */
-  press(): void {
-    const { limitPerS, busy } = this.#play;
-    const endMs = this.nowMs + PRESSED_MS;
+  /** Applies load to the busy VMs for `LOAD_MS`. */
+  applyLoad(): void {
+    const { limitPerS, busyFraction } = this.#scenario;
+    const endMs = this.nowMs + LOAD_MS;
     for (const limits of this.#limits) {
       limits.hear({ life: SERVER, limitPerS, atMs: this.nowMs });
     }
-    const pressed = [...this.#vms].slice(0, Math.ceil(busy * this.#vms.size));
+    const busyVms = [...this.#vms].slice(
+      0,
+      Math.ceil(busyFraction * this.#vms.size),
+    );
     for (; this.nowMs < endMs; this.nowMs += STEP_MS) {
       const due = this.#messages.filter(({ atMs }) => atMs <= this.nowMs);
       this.#messages = this.#messages.filter(({ atMs }) => atMs > this.nowMs);
-      for (const { arrive } of due) arrive();
-      for (const [id, vm] of pressed) {
+      for (const { deliver } of due) deliver();
+      for (const [id, vm] of busyVms) {
         while (vm.canAcquire(SERVER) && vm.reserve(SERVER).tryAcquire()) {
           this.sentMs.push(this.nowMs);
         }
@@ -112,72 +116,75 @@
       const key = `${id}/${owner}`;
       if (this.#asking.has(key)) continue;
       this.#asking.add(key);
-      const untilMs = this.nowMs + ASKED_MS;
-      const take = (lent: GrantAnswer) => {
+      const untilMs = this.nowMs + ANSWER_TIMEOUT_MS;
+      const record = (answer: GrantAnswer) => {
         if (!this.#asking.delete(key)) return;
-        vm.recordAnswer(SERVER, { owner, ...lent });
+        vm.recordAnswer(SERVER, { owner, ...answer });
       };
       this.#send(() => {
-        const lent = this.#vms.get(owner)?.tryGrant(SERVER);
-        if (lent !== undefined) {
+        const answer = this.#vms.get(owner)?.tryGrant(SERVER);
+        if (answer !== undefined) {
           this.#send(() => {
-            if (this.nowMs <= untilMs) take(lent);
+            if (this.nowMs <= untilMs) record(answer);
           });
         }
       });
       this.#messages.push({
         atMs: untilMs,
-        arrive: () => take({ granted: false, opensInMs: 1_000 }),
+        deliver: () => record({ granted: false, opensInMs: 1_000 }),
       });
     }
   }
 
-  #send(arrive: () => void): void {
-    if (this.#chance() < this.#play.lost) return;
-    const atMs = this.nowMs + this.#chance() * this.#play.delayMs;
-    this.#messages.push({ atMs, arrive });
+  #send(deliver: () => void): void {
+    if (this.#chance() < this.#scenario.lossRate) return;
+    const atMs = this.nowMs + this.#chance() * this.#scenario.maxDelayMs;
+    this.#messages.push({ atMs, deliver });
   }
 }
 
-const PLAYS = fc.record({
+const SCENARIOS = fc.record({
   vms: fc.integer({ min: 1, max: 24 }),
   limitPerS: fc.oneof(
     fc.constantFrom(0, 0.1, 1, 2, 3),
     fc.double({ min: 0.1, max: 30, noNaN: true }),
   ),
   seed: fc.integer({ min: 1, max: 1_000_000 }),
-  lost: fc.constantFrom(0, 0.05, 0.5),
-  delayMs: fc.constantFrom(0, 40, 140),
-  busy: fc.constantFrom(0.05, 0.5, 1),
+  lossRate: fc.constantFrom(0, 0.05, 0.5),
+  maxDelayMs: fc.constantFrom(0, 40, 140),
+  busyFraction: fc.constantFrom(0.05, 0.5, 1),
 });
 
-describe("places that are lent over a network that delays and loses", () => {
+describe("permits borrowed over a network that delays and loses messages", () => {
   it("should bound what all VMs send in any four seconds", () => {
     fc.assert(
-      fc.property(PLAYS, (play) => {
-        const fleet = new Fleet(play);
-        fleet.press();
+      fc.property(SCENARIOS, (scenario) => {
+        const fleet = new Fleet(scenario);
+        fleet.applyLoad();
         const most = mostInSpan(fleet.sentMs);
-        assert.ok(most <= allowedInSpan(play.limitPerS), `${most} in one span`);
+        assert.ok(
+          most <= allowedInSpan(scenario.limitPerS),
+          `${most} in one span`,
+        );
       }),
       { seed: 17, numRuns: 150 },
     );
   });
 
-  it("should use at least half of what is named, whichever VMs have work", () => {
+  it("should use at least half of the limit, whichever VMs have load", () => {
     fc.assert(
-      fc.property(PLAYS, (play) => {
-        // An answer that takes longer than its question may wait is a place for nobody.
-        fc.pre(2 * play.delayMs < ASKED_MS);
-        fc.pre(play.limitPerS >= 1 && play.lost === 0);
-        // Two VMs before a server that takes far more than each of them saves up use less.
-        fc.pre(play.limitPerS <= MOST_PER_VM * play.vms);
-        const fleet = new Fleet(play);
-        fleet.press();
-        const named = play.limitPerS * PRESSED_MS / 1_000;
+      fc.property(SCENARIOS, (scenario) => {
+        // A permit whose answer arrives after the time-out is lost.
+        fc.pre(2 * scenario.maxDelayMs < ANSWER_TIMEOUT_MS);
+        fc.pre(scenario.limitPerS >= 1 && scenario.lossRate === 0);
+        // If the limit far exceeds the burst of each VM, two VMs use less of it.
+        fc.pre(scenario.limitPerS <= MAX_LIMIT_PER_VM * scenario.vms);
+        const fleet = new Fleet(scenario);
+        fleet.applyLoad();
+        const limit = scenario.limitPerS * LOAD_MS / 1_000;
         assert.ok(
-          fleet.sentMs.length >= named / 2,
-          `${fleet.sentMs.length} of ${named} used`,
+          fleet.sentMs.length >= limit / 2,
+          `${fleet.sentMs.length} of ${limit} used`,
         );
       }),
       { seed: 19, numRuns: 150 },
--- a/src/core/routing/prompt_holders_test.ts
+++ b/src/core/routing/prompt_holders_test.ts
@@ -13,21 +13,21 @@
 });
 
 describe("prompt holders", () => {
-  it("should know the servers that a prompt was sent to, here or elsewhere", () => {
+  it("should return the servers that this VM or others sent a prompt to", () => {
     holders.recordSent({ key: "m/1", instance: A }, 0);
     holders.mergeAdvertised([{ key: "m/1", instance: B }], 100);
     assert.deepEqual([...holders.holdersOf("m/1", 200)], [A, B]);
     assert.deepEqual([...holders.holdersOf("m/2", 200)], []);
   });
 
-  it("should forget a holder that has not been used for long", () => {
+  it("should expire a holder that has not been used recently", () => {
     holders.recordSent({ key: "m/1", instance: A }, 0);
     holders.recordSent({ key: "m/1", instance: A }, 15_000);
     assert.equal(holders.holdersOf("m/1", 30_000).size, 1);
     assert.equal(holders.holdersOf("m/1", 36_000).size, 0);
   });
 
-  it("should tell new holders for a while, and what it was told to nobody", () => {
+  it("should advertise its own new holders for a limited time, and never those of others", () => {
     holders.recordSent({ key: "m/1", instance: A }, 0);
     holders.mergeAdvertised([{ key: "m/2", instance: B }], 0);
     assert.deepEqual(holders.holdersToAdvertise(1_000), [{
@@ -38,7 +38,7 @@
     assert.deepEqual(holders.holdersToAdvertise(3_000), []);
   });
 
-  it("should keep a bounded number of prompts, those used last", () => {
+  it("should keep a bounded number of prompts, the most recently used", () => {
     for (let n = 0; n < 30_000; n++) {
       holders.recordSent({ key: `m/${n}`, instance: A }, n / 100);
     }
@@ -46,7 +46,7 @@
     assert.equal(holders.holdersOf("m/29999", 300).size, 1);
   });
 
-  it("should not take a server for a holder of what it held in an earlier life", () => {
+  it("should not return a server for prompts sent to an earlier incarnation of it", () => {
     holders.recordSent({ key: "m/1", instance: A }, 0);
     holders.recordServerEnd(A, 100);
     assert.deepEqual([...holders.holdersOf("m/1", 200)], []);
--- a/src/core/routing/routing_test.ts
+++ b/src/core/routing/routing_test.ts
@@ -28,7 +28,7 @@
 const A = "a" as BackendId;
 
 describe("a server pool", () => {
-  test("should eject a server that refuses and let it back later", () => {
+  test("should eject a server that refuses connections, and restore it later", () => {
     const pool = new ServerPool();
     pool.begin(A);
     pool.end(A, { outcome: "refused", nowMs: 0 });
@@ -36,7 +36,7 @@
     assert.equal(pool.isAvailable(A, 1_000), true);
   });
 
-  test("should eject for longer each time, and forget after an answer", () => {
+  test("should double the ejection time each time, and reset it after an answer", () => {
     const pool = new ServerPool();
     for (const nowMs of [0, 1_000]) {
       pool.begin(A);
@@ -50,7 +50,7 @@
     assert.equal(pool.availableInMs(A, 3_000), 1_000);
   });
 
-  test("should bear some failures before it ejects", () => {
+  test("should tolerate some failures before it ejects a server", () => {
     const pool = new ServerPool();
     for (let failure = 1; failure <= 3; failure++) {
       assert.equal(pool.isAvailable(A, 0), true);
@@ -60,7 +60,7 @@
     assert.equal(pool.isAvailable(A, 0), false);
   });
 
-  test("should correct a load report by what was sent since", () => {
+  test("should add requests sent since the last load report", () => {
     const pool = new ServerPool();
     pool.report(A, { running: 3, waiting: 1, receivedAtMs: 0 });
     pool.begin(A);
@@ -68,8 +68,8 @@
   });
 });
 
-describe("a choice of two", () => {
-  test("should take the less loaded and never a leaving or tried one", () => {
+describe("power of two choices", () => {
+  test("should choose the less loaded server, and never a draining or tried one", () => {
     const pool = new ServerPool();
     pool.report(A, { running: 4, waiting: 0, receivedAtMs: 0 });
     pool.setDraining(["c" as BackendId]);
@@ -93,7 +93,7 @@
     unitHash,
   };
 
-  test("should prefer the own data centre", () => {
+  test("should prefer the entry's own data centre", () => {
     const far = Array.from(
       { length: 20 },
       (_, at) => server(`far-${at}`, "pasig-hall"),
@@ -104,12 +104,14 @@
     assert.equal(chosen.filter((s) => s.data_centre === "qc-hall").length, 2);
   });
 
-  test("should change by one server at most when one goes", () => {
+  test("should change by at most one server when one is removed", () => {
     const servers = Array.from({ length: 40 }, (_, at) => server(`s-${at}`));
     const before = new Set(chooseSubset(servers, input).map((s) => s.id));
-    for (const gone of servers) {
-      const left = servers.filter((s) => s !== gone);
-      const after = chooseSubset(left, input).filter((s) => !before.has(s.id));
+    for (const removed of servers) {
+      const remaining = servers.filter((s) => s !== removed);
+      const after = chooseSubset(remaining, input).filter((s) =>
+        !before.has(s.id)
+      );
       assert.ok(after.length <= 1);
     }
   });
@@ -160,14 +162,14 @@
     );
   });
 
-  test("should move about as many sessions as declared", () => {
+  test("should move about the declared percentage of sessions", () => {
     const sessions = Array.from({ length: 2_000 }, (_, at) => `session-${at}`);
     const moved =
       sessions.filter((session) => versionOf(session, 10) === "v2").length;
     assert.ok(moved > 150 && moved < 250, `${moved} moved`);
   });
 
-  test("should never give new work to a withdrawn version", () => {
+  test("should never send new requests to a withdrawn version", () => {
     const [first, second] = model.versions;
     const withdrawn = {
       ...model,
