--- a/src/gateway/cold_server_guard.ts
+++ b/src/gateway/cold_server_guard.ts
@@ -64,7 +64,7 @@
   recordSend(server: ServerRecord): void {
     if (!this.isCold(server)) return;
     const { coldAdmission, clock } = this.#deps;
-    coldAdmission.sent(server.instance, clock.monotonicMs());
+    coldAdmission.recordSent(server.instance, clock.monotonicMs());
   }
 
   #hasCapacity(
@@ -73,7 +73,7 @@
   ): boolean {
     const { coldServers, coldAdmission } = this.#deps;
     if (coldServers.leftMs(instance, nowMs) === 0) return true;
-    return coldAdmission.mayTake(instance, { warmup, nowMs });
+    return coldAdmission.canSend(instance, { warmup, nowMs });
   }
 
   #warmup(service: ServiceId): Warmup | undefined {
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -52,12 +52,15 @@
     components.serverFollower.start();
     components.serverFollower.onRemoved(({ instance }) => {
       components.backendConnections.drop(instance);
-      components.coldAdmission.forget(instance);
-      components.limitAdmission.forget(instance);
+      components.coldAdmission.remove(instance);
+      components.limitAdmission.remove(instance);
       components.serverLoads.forget(instance);
       components.silenceWatch.forgetLongSilent(components.clock.monotonicMs());
       components.serverProbe.forget(instance);
-      components.promptHolders.ended(instance, components.clock.monotonicMs());
+      components.promptHolders.recordServerEnd(
+        instance,
+        components.clock.monotonicMs(),
+      );
     });
     components.evacuationFollower.onReturn((servers) =>
       components.coldServerGuard.assumeCold(servers)
