--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_detector.ts
@@ -24,9 +24,9 @@
 }
 
 /** A request, as far as its crashes go. */
-export interface WatchedRequest {
+export interface MonitoredRequest {
   readonly identity: RequestIdentity;
-  readonly attempt: string | undefined;
+  readonly attemptId: string | undefined;
   readonly account: AccountId | undefined;
   readonly service: ServiceId;
   /** Whether the first byte of an answer shows that a run has begun. */
@@ -34,17 +34,17 @@
 }
 
 /** A try whose connection broke off. */
-export interface BrokenTry {
+export interface BrokenAttempt {
   readonly server: ServerRecord;
   readonly record: TryRecord;
   /** Servers that had ended under the request when it was sent, or broken it off before. */
-  readonly after: readonly ServerLife[];
+  readonly precedingServers: readonly ServerLife[];
 }
 
 const FREE: Standing = { tag: "free" };
 
 /** Watches over the requests of this VM. */
-export class CrashWatch {
+export class CrashDetector {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
@@ -52,21 +52,21 @@
   }
 
   /** How a request stands. Its key is worked out only where some request is suspected. */
-  standing({ identity }: WatchedRequest): Standing {
+  quarantineStatus({ identity }: MonitoredRequest): Standing {
     const { crashBook, clock } = this.#deps;
     if (crashBook.isEmpty) return FREE;
     return crashBook.standing(identity.key, clock.monotonicMs());
   }
 
   /** Servers that are known to have ended under a request. */
-  endedUnder({ identity }: WatchedRequest): readonly ServerLife[] {
+  crashedServers({ identity }: MonitoredRequest): readonly ServerLife[] {
     const { crashBook } = this.#deps;
     if (crashBook.isEmpty) return [];
     return crashBook.crashesOf(identity.key).map(({ life }) => life);
   }
 
   /** Notes that a request has run to a good end, whatever it was suspected of. */
-  endedWell({ identity, attempt }: WatchedRequest): void {
+  recordSuccess({ identity, attemptId: attempt }: MonitoredRequest): void {
     const { crashBook, clock, logger } = this.#deps;
     if (crashBook.isEmpty) return;
     const nowMs = clock.monotonicMs();
@@ -84,7 +84,10 @@
    * Notes a try that broke off; resolves when it is known whether its server has ended. Not a
    * link that was reset, which says nothing about the request.
    */
-  async brokeOff(watched: WatchedRequest, broken: BrokenTry): Promise<void> {
+  async recordDisconnect(
+    watched: MonitoredRequest,
+    broken: BrokenAttempt,
+  ): Promise<void> {
     const { serverEndCheck, clock, gatewayMetrics } = this.#deps;
     const { server, record } = broken;
     const endedMs = clock.monotonicMs();
@@ -101,10 +104,10 @@
   }
 
   #crashOf(
-    { identity, account, service }: WatchedRequest,
-    { broken, endedMs }: { broken: BrokenTry; endedMs: number },
+    { identity, account, service }: MonitoredRequest,
+    { broken, endedMs }: { broken: BrokenAttempt; endedMs: number },
   ): Crash {
-    const { server, record, after } = broken;
+    const { server, record, precedingServers: after } = broken;
     return {
       request: identity.key,
       account,
@@ -120,15 +123,15 @@
   #log(
     { request, life, address, beganMs, endedMs }: Crash,
     { watched, broken, suspected }: {
-      watched: WatchedRequest;
-      broken: BrokenTry;
+      watched: MonitoredRequest;
+      broken: BrokenAttempt;
       suspected: boolean;
     },
   ): void {
     const { server, record } = broken;
     this.#deps.logger.info("Server ended under a request", {
       request,
-      attempt: watched.attempt,
+      attempt: watched.attemptId,
       service: watched.service,
       server: life,
       address,
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -67,18 +67,18 @@
 import { AttemptAcks } from "./attempt_acks.ts";
 import { ColdServerGuard } from "./cold_server_guard.ts";
 import { ControlServer } from "./control_server.ts";
-import { CrashWatch } from "./crash_watch.ts";
+import { CrashDetector } from "./crash_detector.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
 import { Readiness } from "./readiness.ts";
 import { RequestAdmission } from "./request_admission.ts";
 import { RequestLog } from "./request_log.ts";
 import { RequestServer } from "./request_server.ts";
 import { SeedList } from "./seed_list.ts";
-import { ServerGate } from "./server_gate.ts";
+import { ServerAdmission } from "./server_admission.ts";
 import { ServerNotices } from "./server_notices.ts";
 import { ServerSelector } from "./server_selector.ts";
 import { StopState } from "./stop_state.ts";
-import { SuspectPlaces } from "./suspect_places.ts";
+import { SuspectPlacement } from "./suspect_placement.ts";
 import { TryObserver } from "./try_observer.ts";
 import { TrySilence } from "./try_silence.ts";
 import { TrialController } from "./trial_controller.ts";
@@ -285,13 +285,13 @@
     backendConnections: one(BackendConnections),
     serverProbe: one(ServerProbe),
     serverEndCheck: asFunction(() => new ServerEndCheck()).singleton(),
-    crashWatch: one(CrashWatch),
-    suspectPlaces: asFunction(() => new SuspectPlaces()).singleton(),
+    crashDetector: one(CrashDetector),
+    suspectPlacement: asFunction(() => new SuspectPlacement()).singleton(),
     stopState: one(StopState),
     readiness: one(Readiness),
     addressList: one(AddressList),
     coldServerGuard: one(ColdServerGuard),
-    serverGate: one(ServerGate),
+    serverAdmission: one(ServerAdmission),
     serverNotices: one(ServerNotices),
     serverSelector: one(ServerSelector),
     requestAdmission: one(RequestAdmission),
--- a/src/gateway/model_choice.ts
+++ b/src/gateway/model_cascade.ts
@@ -7,7 +7,7 @@
 import type { CallerHead } from "../platform/header_wire.ts";
 
 /** What is known when the head of an answer has come. */
-export interface JudgedHead {
+export interface EscalationInput {
   readonly route: Route;
   /** 0 to 100, undefined where the server does not say. */
   readonly confidence: number | undefined;
@@ -16,13 +16,13 @@
   /** Time that the request has, in milliseconds. */
   readonly limitMs: number;
   /** Predicts the time to the first token of a model, in milliseconds. */
-  readonly startMsOf: (model: ModelId) => number;
+  readonly predictStartMs: (model: ModelId) => number;
   /** Further runs that the route allows. */
   readonly runsLeft: number;
 }
 
 /** Begins with one model and moves on to a larger one. */
-export class ModelChoice {
+export class ModelCascade {
   readonly #modelPace: ModelPace;
   readonly #head: CallerHead;
   #model: ModelId | undefined;
@@ -43,7 +43,7 @@
   }
 
   /** Whether a larger model should be asked instead; `moveOn` then does so. */
-  wantsLarger(judged: JudgedHead): boolean {
+  shouldEscalate(judged: EscalationInput): boolean {
     const { route, confidence, usedMs, limitMs, runsLeft } = judged;
     const largest = route.models.at(-1);
     if (this.#model === undefined || largest === undefined) return false;
@@ -56,14 +56,14 @@
       targetMs: route.targetMs ?? limitMs,
       limitMs,
       largest: this.#predict(largest, route),
-      startMs: judged.startMsOf(largest),
+      startMs: judged.predictStartMs(largest),
       runsLeft,
     });
     return this.#larger !== undefined;
   }
 
   /** Asks the larger model from now on. */
-  moveOn(): void {
+  escalate(): void {
     this.#model = this.#larger ?? this.#model;
     this.#larger = undefined;
   }
--- a/src/gateway/request_admission.ts
+++ b/src/gateway/request_admission.ts
@@ -20,7 +20,7 @@
 const USABLE_CONFIRMATION = 0.8;
 
 /** What a request may run as, with all tries that it takes. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
   /** Undefined where the route needs no key. */
@@ -44,7 +44,7 @@
   }
 
   /** Returns what a request that has just been read may run as. */
-  admit(exchange: CallerExchange): Result<Admitted, Refusal> {
+  admit(exchange: CallerExchange): Result<AdmittedRequest, Refusal> {
     const { table } = this.#deps.routingFollower;
     if (table === undefined) return fail({ tag: "no_configuration" });
     const route = table.match(hostName(exchange.host), exchange.path);
@@ -67,7 +67,7 @@
       account?: AccountId;
       priority?: number;
     },
-  ): Result<Admitted, Refusal> {
+  ): Result<AdmittedRequest, Refusal> {
     return ok({
       table,
       route,
--- a/src/gateway/request_crashes.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -5,7 +5,7 @@
 import type { ServerLife } from "../core/ids.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
 import { pause } from "../runtime/pause.ts";
-import type { CrashWatch, WatchedRequest } from "./crash_watch.ts";
+import type { CrashDetector, MonitoredRequest } from "./crash_detector.ts";
 import type { TryRecord } from "./try_record.ts";
 
 /**
@@ -18,27 +18,27 @@
 const SETTLE_PAUSE_MS = 50;
 
 /** Keeps the book of crashes for one request. */
-export class RequestCrashes {
-  readonly #watch: CrashWatch;
-  readonly #watched: WatchedRequest;
+export class RequestCrashTracker {
+  readonly #watch: CrashDetector;
+  readonly #watched: MonitoredRequest;
   /** Servers that are known to have ended under the request. */
   #ended: readonly ServerLife[] = [];
   /** Servers at which a try of this attempt broke off, whether or not they have ended. */
   readonly #lost: ServerLife[] = [];
 
-  constructor(watch: CrashWatch, watched: WatchedRequest) {
+  constructor(watch: CrashDetector, watched: MonitoredRequest) {
     this.#watch = watch;
     this.#watched = watched;
   }
 
   /** Waits until verdicts have settled, or `isOver`; returns how the request stands before a try. */
-  async settled(isOver: () => boolean): Promise<Standing> {
-    let standing = this.#watch.standing(this.#watched);
+  async waitUntilSettled(isOver: () => boolean): Promise<Standing> {
+    let standing = this.#watch.quarantineStatus(this.#watched);
     while (standing.tag === "settling" && !isOver()) {
       await pause(SETTLE_PAUSE_MS);
-      standing = this.#watch.standing(this.#watched);
+      standing = this.#watch.quarantineStatus(this.#watched);
     }
-    this.#ended = this.#watch.endedUnder(this.#watched);
+    this.#ended = this.#watch.crashedServers(this.#watched);
     return standing;
   }
 
@@ -54,11 +54,11 @@
 
   /** Whether the request must not begin to run, wherever it is. */
   get isQuarantined(): boolean {
-    return this.#watch.standing(this.#watched).tag === "quarantined";
+    return this.#watch.quarantineStatus(this.#watched).tag === "quarantined";
   }
 
   /** Finds out what the end of a try says, before another one is made. */
-  async tryEnded(
+  async recordAttemptEnd(
     outcome: TryOutcome,
     { server, record }: { server: ServerRecord; record: TryRecord | undefined },
   ): Promise<void> {
@@ -66,14 +66,14 @@
     if (record === undefined) return;
     // What this attempt has lost came before, also where word of its end is still to come.
     const after = [...new Set([...this.#ended, ...this.#lost])];
-    const broken = { server, record, after };
+    const broken = { server, record, precedingServers: after };
     this.#lost.push(lifeOf(server));
-    const known = this.#watch.brokeOff(this.#watched, broken);
+    const known = this.#watch.recordDisconnect(this.#watched, broken);
     await Promise.race([known, pause(END_WAIT_MS)]);
   }
 
   /** Notes that the request has run to a good end. */
-  endedWell(): void {
-    this.#watch.endedWell(this.#watched);
+  recordSuccess(): void {
+    this.#watch.recordSuccess(this.#watched);
   }
 }
--- a/src/gateway/request_crashes_test.ts
+++ b/src/gateway/request_crash_tracker_test.ts
@@ -13,9 +13,9 @@
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { CrashNews } from "../fleet/crash_news.ts";
 import { SilentLogger } from "../runtime/logger.ts";
-import { CrashWatch } from "./crash_watch.ts";
+import { CrashDetector } from "./crash_detector.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
-import { RequestCrashes } from "./request_crashes.ts";
+import { RequestCrashTracker } from "./request_crash_tracker.ts";
 import { RequestIdentity } from "./request_identity.ts";
 import { newTryRecord } from "./try_record.ts";
 
@@ -25,7 +25,7 @@
 
 let nowMs: number;
 let book: CrashBook;
-let crashes: RequestCrashes;
+let crashes: RequestCrashTracker;
 /** Tell that the servers of the tries so far have ended. */
 let tellEnded: (() => void)[];
 
@@ -45,7 +45,7 @@
   const logger = new SilentLogger();
   const hasEnded = () =>
     new Promise<boolean>((resolve) => tellEnded.push(() => resolve(true)));
-  const watch = new CrashWatch({
+  const watch = new CrashDetector({
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
     crashBook: book,
@@ -54,9 +54,9 @@
     clock,
     logger,
   });
-  crashes = new RequestCrashes(watch, {
+  crashes = new RequestCrashTracker(watch, {
     identity,
-    attempt: undefined,
+    attemptId: undefined,
     account: undefined,
     service: SERVICE,
     streaming: true,
@@ -65,7 +65,7 @@
 
 /** Sends the request to a server, which ends 20 ms after the first byte. */
 async function crash(n: number): Promise<void> {
-  await crashes.settled(() => false);
+  await crashes.waitUntilSettled(() => false);
   const server = serverRecord(`i-${n}`, { address: `10.0.0.${n}:80` });
   const record = newTryRecord(server, {
     model: undefined,
@@ -75,7 +75,10 @@
   record.firstByteMs = 10;
   nowMs += 30;
   const reason = "UND_ERR_SOCKET";
-  await crashes.tryEnded({ tag: "stream_broken", reason }, { server, record });
+  await crashes.recordAttemptEnd({ tag: "stream_broken", reason }, {
+    server,
+    record,
+  });
 }
 
 describe("crashes under one request", () => {
--- a/src/gateway/request_end.ts
+++ b/src/gateway/request_finisher.ts
@@ -18,7 +18,7 @@
 }
 
 /** What the end of a request depends on where no server takes it. */
-export interface NoServer {
+export interface NoServerContext {
   /** Why, where it is not the servers. */
   readonly reason?: string | undefined;
   /** Milliseconds until a server takes it, where all say so. */
@@ -26,11 +26,11 @@
   /** Time that the request has left, in milliseconds. */
   readonly leftMs: number;
   /** Whether this VM has given up a run that its server had not ended. */
-  readonly leftRunning: boolean;
+  readonly hasAbandonedRun: boolean;
 }
 
 /** Ends one request. */
-export class RequestEnd {
+export class RequestFinisher {
   readonly #deps: Deps;
   readonly #exchange: CallerExchange;
   readonly #tally: RunTally;
@@ -55,11 +55,12 @@
    * returns for how long then, in milliseconds. It is owed its end where its caller has a part
    * of the answer or this VM gave the run up.
    */
-  noServer(
-    { reason, opensInMs, leftMs, leftRunning }: NoServer,
+  waitOrRefuse(
+    { reason, opensInMs, leftMs, hasAbandonedRun: leftRunning }:
+      NoServerContext,
   ): number | undefined {
     const owed = this.#exchange.state === "begun" || leftRunning;
-    const waitMs = this.#tally.waitMs({ opensInMs, leftMs, owed });
+    const waitMs = this.#tally.nextWaitMs({ opensInMs, leftMs, owed });
     if (waitMs !== undefined) return waitMs;
     const toldMs = opensInMs === undefined
       ? undefined
@@ -69,8 +70,8 @@
   }
 
   /** Ends a request whose time is up. */
-  timeUp(): void {
-    this.refuse(this.#tally.timeUpRefusal());
+  refuseExpired(): void {
+    this.refuse(this.#tally.timeoutRefusal());
   }
 
   /** Gives the final answer, or cuts a stream that has begun. */
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -81,7 +81,7 @@
       path: exchange.path,
       // Worked out only where a try failed: those are looked for at other VMs.
       request: run.tries.some(({ outcome }) => FAILED_TRIES.has(outcome))
-        ? run.request.key
+        ? run.identity.key
         : undefined,
       service: run.service,
       route: run.route,
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -14,11 +14,11 @@
 import { pause } from "../runtime/pause.ts";
 import type { ServerFollower } from "../store/server_follower.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import type { CrashWatch } from "./crash_watch.ts";
-import { ModelChoice } from "./model_choice.ts";
-import type { Admitted } from "./request_admission.ts";
-import { RequestCrashes } from "./request_crashes.ts";
-import { type NoServer, RequestEnd } from "./request_end.ts";
+import type { CrashDetector } from "./crash_detector.ts";
+import { ModelCascade } from "./model_cascade.ts";
+import type { AdmittedRequest } from "./request_admission.ts";
+import { RequestCrashTracker } from "./request_crash_tracker.ts";
+import { type NoServerContext, RequestFinisher } from "./request_finisher.ts";
 import { RequestIdentity } from "./request_identity.ts";
 import type { RequestLog } from "./request_log.ts";
 import { RetryPermit } from "./retry_permit.ts";
@@ -41,7 +41,7 @@
   readonly serverFollower: ServerFollower;
   readonly retryBudget: RetryBudget;
   readonly modelPace: ModelPace;
-  readonly crashWatch: CrashWatch;
+  readonly crashDetector: CrashDetector;
   readonly requestLog: RequestLog;
   readonly chance: () => number;
 }
@@ -53,7 +53,7 @@
   readonly #deps: RequestRunDeps;
   readonly #exchange: CallerExchange;
   readonly #service: ServiceId;
-  readonly #models: ModelChoice;
+  readonly #models: ModelCascade;
   readonly #stream: StreamRelay;
   readonly #sender: TrySender;
   readonly #limitMs: number;
@@ -62,12 +62,12 @@
    * later news (a key withdrawn, a route removed, the store out of reach) would cut streams
    * of which callers have a part.
    */
-  readonly #admitted: Admitted;
+  readonly #admitted: AdmittedRequest;
   readonly #identity: RequestIdentity;
-  readonly #crashes: RequestCrashes;
+  readonly #crashes: RequestCrashTracker;
   readonly #tally = new RunTally();
   readonly #retryPermit: RetryPermit;
-  readonly #end: RequestEnd;
+  readonly #end: RequestFinisher;
   #expired = false;
   /** Whether this VM has given up a run that its server had not ended. */
   #leftRunning = false;
@@ -77,7 +77,7 @@
     deps: RequestRunDeps,
     { exchange, admitted, body }: {
       exchange: CallerExchange;
-      admitted: Admitted;
+      admitted: AdmittedRequest;
       body: Buffer | undefined;
     },
   ) {
@@ -89,9 +89,9 @@
     const { head, method, host, url } = exchange;
     const { account, route } = admitted;
     this.#identity = new RequestIdentity({ method, host, url, account, body });
-    this.#crashes = new RequestCrashes(deps.crashWatch, {
+    this.#crashes = new RequestCrashTracker(deps.crashDetector, {
       identity: this.#identity,
-      attempt: head.attempt,
+      attemptId: head.attempt,
       account,
       service: this.#service,
       streaming: route.kind === "stream",
@@ -100,8 +100,8 @@
       head.waitMs ?? DEFAULT_WAIT_MS,
       route.timeLimitMs ?? Infinity,
     );
-    this.#models = new ModelChoice(deps.modelPace, { head, route });
-    this.#end = new RequestEnd(deps, {
+    this.#models = new ModelCascade(deps.modelPace, { head, route });
+    this.#end = new RequestFinisher(deps, {
       exchange,
       tally: this.#tally,
       summary: () => this.summary(),
@@ -122,7 +122,7 @@
     return {
       service: this.#service,
       route: route.id,
-      request: this.#identity,
+      identity: this.#identity,
       account,
       configurationVersion: table.version,
       confirmedAgeMs,
@@ -148,7 +148,7 @@
   async #step(): Promise<Next> {
     if (this.#exchange.isOver) return "done";
     if (this.#expired || this.#leftMs() < MIN_WAIT_MS) return this.#timeUp();
-    const standing = await this.#crashes.settled(() => this.#isOver);
+    const standing = await this.#crashes.waitUntilSettled(() => this.#isOver);
     if (standing.tag === "quarantined") {
       return this.#finish(this.#tally.crashRefusal(standing));
     }
@@ -158,7 +158,7 @@
     if (!this.#acquireRetry()) return this.#noFurther(NO_RETRY);
     const outcome = await this.#try(server);
     const record = this.#sender.tries.at(-1);
-    await this.#crashes.tryEnded(outcome, { server, record });
+    await this.#crashes.recordAttemptEnd(outcome, { server, record });
     return await this.#after(outcome, server);
   }
 
@@ -243,12 +243,13 @@
     // A better answer costs a retry, which others may need to get one at all.
     if (!this.#retryPermit.isSpare) return false;
     const { route } = this.#admitted;
-    return this.#models.wantsLarger({
+    return this.#models.shouldEscalate({
       route,
       confidence,
       usedMs: this.#exchange.ageMs(),
       limitMs: this.#limitMs,
-      startMsOf: (model) => this.#sender.predictStartMs(this.#admitted, model),
+      predictStartMs: (model) =>
+        this.#sender.predictStartMs(this.#admitted, model),
       runsLeft: route.maxRuns - this.#tally.runs - 1,
     });
   }
@@ -256,14 +257,14 @@
   #after(outcome: TryOutcome, server: ServerRecord): Next | Promise<Next> {
     switch (outcome.tag) {
       case "given_up":
-        this.#tally.ran();
+        this.#tally.recordRun();
         return "again";
       case "withheld":
         return "again";
       case "not_sent":
         return this.#mayAskFurther() ? "again" : this.#noFurther();
       case "not_run":
-        return this.#tally.notRun() ? "again" : this.#noFurther();
+        return this.#tally.recordRefusal() ? "again" : this.#noFurther();
       case "misdirected":
         this.#deps.serverFollower.misdirected(server.instance);
         return "again";
@@ -284,12 +285,12 @@
   #mayAskFurther(): boolean {
     const tookMs = this.#sender.lastTryMs;
     const hasSound = this.#sender.hasSound(this.#admitted, this.#choice);
-    return this.#tally.notSent({ tookMs, hasSound });
+    return this.#tally.recordUnsent({ tookMs, hasSound });
   }
 
   #escalate(): Next {
-    this.#tally.ran();
-    this.#models.moveOn();
+    this.#tally.recordRun();
+    this.#models.escalate();
     this.#sender.forgetTried();
     return "again";
   }
@@ -298,33 +299,33 @@
     if (this.#exchange.state === "begun") {
       return this.#resume(`status ${head.status}`);
     }
-    this.#tally.ran();
+    this.#tally.recordRun();
     if (head.status >= 500 && this.#mayRetry() && this.#hasOther()) {
       return "again";
     }
     const whole = head.status < FIRST_ERROR_STATUS && head.decoded.framed;
-    if (whole) this.#crashes.endedWell();
+    if (whole) this.#crashes.recordSuccess();
     this.#exchange.answer(head, body);
     return "done";
   }
 
   #streamed({ framed }: { framed: boolean }): Next {
     if (this.#stream.end()) {
-      if (framed) this.#crashes.endedWell();
+      if (framed) this.#crashes.recordSuccess();
       return "done";
     }
     return this.#resume("stream ended within an event");
   }
 
   #brokenOff(reason: string): Next {
-    this.#tally.ran();
+    this.#tally.recordRun();
     if (this.#mayRetry()) return "again";
     return this.#finish({ tag: "answer_lost", reason });
   }
 
   /** Goes on with a stream on another server, inside the same answer. */
   #resume(reason: string): Next {
-    this.#tally.ran();
+    this.#tally.recordRun();
     this.#stream.restart();
     const { route } = this.#admitted;
     if (route.resumable && this.#tally.runs < route.maxRuns) return "again";
@@ -343,13 +344,13 @@
 
   /** Waits for a place, or ends a request that no server takes. */
   async #noServer(
-    { reason, opensInMs }: Pick<NoServer, "reason" | "opensInMs">,
+    { reason, opensInMs }: Pick<NoServerContext, "reason" | "opensInMs">,
   ): Promise<Next> {
-    const waitMs = this.#end.noServer({
+    const waitMs = this.#end.waitOrRefuse({
       reason,
       opensInMs,
       leftMs: this.#leftMs(),
-      leftRunning: this.#leftRunning,
+      hasAbandonedRun: this.#leftRunning,
     });
     if (waitMs === undefined) return "done";
     await pause(waitMs);
@@ -357,7 +358,7 @@
   }
 
   #timeUp(): Next {
-    this.#end.timeUp();
+    this.#end.refuseExpired();
     return "done";
   }
 
@@ -368,7 +369,7 @@
 
   #expire(): void {
     this.#expired = true;
-    if (this.#sender.isSent) this.#tally.leftUnderWay();
+    if (this.#sender.isSent) this.#tally.recordAbandonedRun();
     this.#timeUp();
     this.#sender.giveUp();
   }
--- a/src/gateway/run_summary.ts
+++ b/src/gateway/run_summary.ts
@@ -10,7 +10,7 @@
   readonly service: ServiceId;
   readonly route: RouteId;
   /** What all attempts at the request have in common. */
-  readonly request: RequestIdentity;
+  readonly identity: RequestIdentity;
   /** Undefined where the route needs no key. */
   readonly account: AccountId | undefined;
   /** Version of the configuration by which the request was admitted. */
--- a/src/gateway/run_tally.ts
+++ b/src/gateway/run_tally.ts
@@ -33,7 +33,7 @@
   }
 
   /** Notes that a server has run the request, or may have. */
-  ran(): void {
+  recordRun(): void {
     this.#runs += 1;
     this.#mayHaveRun = true;
     this.#forgetRefusals();
@@ -45,7 +45,7 @@
    * nothing, if it has the time: its caller has waited for the run, and could only begin anew.
    * Where nothing tells when one takes it, it waits for a while if it is `owed` its end.
    */
-  waitMs({ opensInMs, leftMs, owed }: {
+  nextWaitMs({ opensInMs, leftMs, owed }: {
     opensInMs: number | undefined;
     leftMs: number;
     owed: boolean;
@@ -54,23 +54,23 @@
     if (opensInMs !== undefined && opensInMs < leftMs) {
       return Math.min(PLACE_PAUSE_MS, opensInMs);
     }
-    return owed && this.noteWait() ? PLACE_PAUSE_MS : undefined;
+    return owed && this.recordWait() ? PLACE_PAUSE_MS : undefined;
   }
 
   /** Notes that no server takes the request now; returns whether to ask again later. */
-  noteWait(): boolean {
+  recordWait(): boolean {
     this.#waits += 1;
     this.#forgetRefusals();
     return this.#waits <= MAX_WAITS;
   }
 
   /** Notes that a try is under way whose end will not be known. */
-  leftUnderWay(): void {
+  recordAbandonedRun(): void {
     this.#mayHaveRun = true;
   }
 
   /** Notes a server that did not run the request; returns whether to ask another. */
-  notRun(): boolean {
+  recordRefusal(): boolean {
     this.#refusals += 1;
     return this.#refusals < this.#mostRefusals;
   }
@@ -80,7 +80,7 @@
    * behind crashes of many servers, and those that are there must be found: while servers are
    * left that pass for sound, time bounds the search, not their number.
    */
-  notSent(
+  recordUnsent(
     { tookMs, hasSound }: { tookMs: number; hasSound: boolean },
   ): boolean {
     this.#unsent += 1;
@@ -118,7 +118,7 @@
   }
 
   /** Why the request ends where its time is up. */
-  timeUpRefusal(): Refusal {
+  timeoutRefusal(): Refusal {
     return this.#mayHaveRun ? { tag: "expired" } : { tag: "expired_unsent" };
   }
 
--- a/src/gateway/run_tally_test.ts
+++ b/src/gateway/run_tally_test.ts
@@ -10,21 +10,21 @@
   it("should say that nothing has run only while nothing may have", () => {
     const tally = new RunTally();
     assert.equal(tally.noServerRefusal().tag, "no_server");
-    tally.notRun();
+    tally.recordRefusal();
     assert.equal(tally.noServerRefusal().tag, "servers_full");
-    assert.equal(tally.timeUpRefusal().tag, "expired_unsent");
-    tally.leftUnderWay();
+    assert.equal(tally.timeoutRefusal().tag, "expired_unsent");
+    tally.recordAbandonedRun();
     assert.equal(tally.noServerRefusal().tag, "answer_lost");
-    assert.equal(tally.timeUpRefusal().tag, "expired");
+    assert.equal(tally.timeoutRefusal().tag, "expired");
   });
 
   it("should count the run under way against those that the route allows", () => {
     const tally = new RunTally();
     assert.equal(tally.mayRetry(REPEATABLE, 1), true);
-    tally.ran();
+    tally.recordRun();
     assert.equal(tally.mayRetry(REPEATABLE), true);
     assert.equal(tally.mayRetry(REPEATABLE, 1), false);
-    tally.ran();
+    tally.recordRun();
     assert.equal(tally.mayRetry(REPEATABLE), false);
   });
 
@@ -34,7 +34,8 @@
 
   it("should stop asking servers after a few that did not run it", () => {
     const tally = new RunTally();
-    const asked = [1, 2, 3, 4, 5].filter(() => tally.notRun()).length + 1;
+    const asked = [1, 2, 3, 4, 5].filter(() => tally.recordRefusal()).length +
+      1;
     assert.equal(asked, 3);
   });
 
@@ -48,53 +49,61 @@
     for (const [tookMs, hasSound, asked] of cases) {
       const tally = new RunTally();
       let further = 0;
-      while (further < 100 && tally.notSent({ tookMs, hasSound })) further += 1;
+      while (further < 100 && tally.recordUnsent({ tookMs, hasSound })) {
+        further += 1;
+      }
       assert.equal(further, asked);
     }
   });
 
   it("should ask one server a round once it has waited, and not wait without end", () => {
     const tally = new RunTally();
-    tally.ran();
-    assert.equal(tally.notRun(), true);
-    assert.equal(tally.noteWait(), true);
-    assert.equal(tally.notRun(), false);
+    tally.recordRun();
+    assert.equal(tally.recordRefusal(), true);
+    assert.equal(tally.recordWait(), true);
+    assert.equal(tally.recordRefusal(), false);
     let waits = 1;
-    while (tally.noteWait()) waits += 1;
+    while (tally.recordWait()) waits += 1;
     assert.equal(waits, 8);
   });
 
   it("should count refusals anew for each run", () => {
     const tally = new RunTally();
-    tally.notRun();
-    tally.notRun();
-    tally.ran();
-    assert.equal(tally.notRun(), true);
+    tally.recordRefusal();
+    tally.recordRefusal();
+    tally.recordRun();
+    assert.equal(tally.recordRefusal(), true);
   });
 
   it("should wait for the end of a rest that comes in time, however long", () => {
     const tally = new RunTally();
     for (let opensInMs = 3_000; opensInMs > 0; opensInMs -= 250) {
-      assert.equal(tally.waitMs({ opensInMs, leftMs: 4_000, owed: true }), 250);
+      assert.equal(
+        tally.nextWaitMs({ opensInMs, leftMs: 4_000, owed: true }),
+        250,
+      );
     }
     assert.equal(
-      tally.waitMs({ opensInMs: 40, leftMs: 1_000, owed: true }),
+      tally.nextWaitMs({ opensInMs: 40, leftMs: 1_000, owed: true }),
       40,
     );
     // What comes too late is waited for no longer than what nobody knows of.
     const late = { opensInMs: 3_000, leftMs: 2_000, owed: true };
     let waits = 0;
-    while (tally.waitMs(late) !== undefined) waits += 1;
+    while (tally.nextWaitMs(late) !== undefined) waits += 1;
     assert.equal(waits, 8);
   });
 
   it("should wait for a lost run only as long as its servers tell, where none is owed", () => {
     const tally = new RunTally();
     const soon = { opensInMs: 300, leftMs: 2_000, owed: false };
-    assert.equal(tally.waitMs(soon), undefined);
-    tally.ran();
-    assert.equal(tally.waitMs(soon), 250);
-    assert.equal(tally.waitMs({ ...soon, opensInMs: undefined }), undefined);
-    assert.equal(tally.waitMs({ ...soon, leftMs: 200 }), undefined);
+    assert.equal(tally.nextWaitMs(soon), undefined);
+    tally.recordRun();
+    assert.equal(tally.nextWaitMs(soon), 250);
+    assert.equal(
+      tally.nextWaitMs({ ...soon, opensInMs: undefined }),
+      undefined,
+    );
+    assert.equal(tally.nextWaitMs({ ...soon, leftMs: 200 }), undefined);
   });
 });
--- a/src/gateway/server_gate.ts
+++ b/src/gateway/server_admission.ts
@@ -28,7 +28,7 @@
  * are cold or evacuated, or take only so much from all VMs together. Unlike the avoidance of
  * servers that have failed, there is no way past it where no other server is left.
  */
-export class ServerGate {
+export class ServerAdmission {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
@@ -36,7 +36,7 @@
   }
 
   /** Servers of a service that bear a request of this VM now, as far as they are cold. */
-  bearing(
+  filterBySlowStart(
     service: ServiceId,
     servers: readonly ServerRecord[],
   ): readonly ServerRecord[] {
@@ -44,7 +44,7 @@
   }
 
   /** Servers that take a request of this VM now: they do not rest, and their limit has room. */
-  open(servers: readonly ServerRecord[]): readonly ServerRecord[] {
+  filterAvailable(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverRests, serverLimits } = this.#deps;
     if (serverRests.isEmpty && serverLimits.isEmpty) return servers;
     return servers.filter((server) =>
@@ -53,7 +53,9 @@
   }
 
   /** Servers that would take a request of this VM if another VM lent it a place. */
-  lacking(servers: readonly ServerRecord[]): readonly ServerRecord[] {
+  filterWithoutPermit(
+    servers: readonly ServerRecord[],
+  ): readonly ServerRecord[] {
     if (this.#deps.serverLimits.isEmpty) return [];
     return servers.filter((server) =>
       this.#isRested(server) && !this.#hasRoom(server)
@@ -61,7 +63,7 @@
   }
 
   /** Servers of these that take only so many requests, as they say. */
-  limited(servers: readonly ServerRecord[]): readonly ServerRecord[] {
+  filterRateLimited(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverLimits } = this.#deps;
     if (serverLimits.isEmpty) return [];
     return servers.filter((server) => serverLimits.of(server) !== undefined);
@@ -87,7 +89,7 @@
   }
 
   /** Counts a request that is about to be sent; returns its place among those of all VMs. */
-  sending(server: ServerRecord): SendPlace {
+  reserve(server: ServerRecord): SendPlace {
     const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
       this.#deps;
     coldServerGuard.sending(server);
@@ -101,7 +103,7 @@
   }
 
   /** Notes that a server has taken a request that was sent at such a time. */
-  took(server: ServerRecord, sentMs: number): void {
+  recordAccepted(server: ServerRecord, sentMs: number): void {
     this.#deps.serverRests.took(server, sentMs);
   }
 
--- a/src/gateway/server_selector.ts
+++ b/src/gateway/server_selector.ts
@@ -22,14 +22,14 @@
 import type { VmSettings } from "../platform/vm_settings_wire.ts";
 import type { EvacuationFollower } from "../store/evacuation_follower.ts";
 import type { RollOutFollower } from "../store/roll_out_follower.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { Clock } from "../runtime/clock.ts";
 
 interface Deps {
   readonly vmSettings: VmSettings;
   readonly serverDirectory: ServerDirectory;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
   readonly releaseGate: ReleaseGate;
   readonly releaseChoice: ReleaseChoice;
   readonly rollOutFollower: RollOutFollower;
@@ -86,9 +86,12 @@
 
   /** Returns the server to use; undefined when none takes new work. */
   choose(selection: Selection): ServerRecord | undefined {
-    const { serverGate } = this.#deps;
+    const { serverAdmission } = this.#deps;
     for (const candidates of this.#candidates(selection)) {
-      const open = this.#responsive(serverGate.open(candidates), selection);
+      const open = this.#responsive(
+        serverAdmission.filterAvailable(candidates),
+        selection,
+      );
       const server = this.#among(open, selection);
       if (server !== undefined) return server;
       // A session keeps its release where none of its servers has room: they soon have again.
@@ -103,21 +106,24 @@
    * rest or are cold; undefined otherwise.
    */
   opensInMs(selection: Selection): number | undefined {
-    const { serverDirectory, serverGate } = this.#deps;
+    const { serverDirectory, serverAdmission } = this.#deps;
     const [first = []] = this.#candidates(selection);
     const bound = this.#belongsTo(selection, first);
-    return serverGate.opensInMs(
+    return serverAdmission.opensInMs(
       bound ? first : serverDirectory.usable(selection.service),
     );
   }
 
   /** Servers that would take a request if another VM lent this one a place there. */
   lacking(selection: Selection): readonly ServerRecord[] {
-    const { serverGate } = this.#deps;
+    const { serverAdmission } = this.#deps;
     const sets = this.#candidates(selection);
     const [first = []] = sets;
     const servers = this.#belongsTo(selection, first) ? first : sets.flat();
-    return this.#responsive(serverGate.lacking(servers), selection)
+    return this.#responsive(
+      serverAdmission.filterWithoutPermit(servers),
+      selection,
+    )
       .filter(({ instance }) => !selection.tried.has(instance));
   }
 
@@ -147,14 +153,14 @@
     candidates: readonly ServerRecord[],
     selection: Selection,
   ): ServerRecord | undefined {
-    const { affinityChoice, serverGate, vmSettings, clock } = this.#deps;
+    const { affinityChoice, serverAdmission, vmSettings, clock } = this.#deps;
     const dataCentre: DataCentreId = vmSettings.dataCentre;
     return affinityChoice.choose({
       candidates,
       affinity: promptKeyOf(selection.head, selection.model),
       dataCentre,
       tried: selection.tried,
-      limited: serverGate.limited(candidates),
+      limited: serverAdmission.filterRateLimited(candidates),
       sharedMs: selection.sharedMs,
       nowMs: clock.monotonicMs(),
     });
@@ -163,7 +169,7 @@
   /** Sets of servers to choose from, the best set first; some of them may take nothing now. */
   #candidates({ service, head }: Selection): (readonly ServerRecord[])[] {
     const { serverDirectory, releaseGate, rollOutFollower } = this.#deps;
-    const { evacuationFollower, serverGate } = this.#deps;
+    const { evacuationFollower, serverAdmission } = this.#deps;
     if (!rollOutFollower.ready || !evacuationFollower.ready) return [];
     const nowMs = this.#deps.clock.monotonicMs();
     const servers = serverDirectory.usable(service);
@@ -171,7 +177,7 @@
     return this.#deps.releaseChoice.choose({
       service,
       allowed: {
-        stable: serverGate.bearing(service, stable),
+        stable: serverAdmission.filterBySlowStart(service, stable),
         trial: this.#ofTrial(service, trial),
       },
       share: releaseGate.trialShare(service),
@@ -186,9 +192,9 @@
     service: ServiceId,
     trial: readonly ServerRecord[],
   ): readonly ServerRecord[] {
-    const { serverGate } = this.#deps;
-    const bearing = serverGate.bearing(service, trial);
-    const open = serverGate.open(bearing);
+    const { serverAdmission } = this.#deps;
+    const bearing = serverAdmission.filterBySlowStart(service, trial);
+    const open = serverAdmission.filterAvailable(bearing);
     return open.length > 0 ? open : bearing;
   }
 }
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -18,7 +18,7 @@
 import { SilentLogger } from "../runtime/logger.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ColdServerGuard } from "./cold_server_guard.ts";
-import { ServerGate } from "./server_gate.ts";
+import { ServerAdmission } from "./server_admission.ts";
 import {
   type Selection,
   ServerSelector,
@@ -66,7 +66,7 @@
   let limitAdmission: LimitAdmission;
   let sessionBook: SessionBook;
   let serverLoads: ServerLoads;
-  let serverGate: ServerGate;
+  let serverAdmission: ServerAdmission;
   let selector: ServerSelector;
 
   beforeEach(() => {
@@ -88,7 +88,7 @@
     });
     // By then it knows the other VMs, if there are any.
     nowMs += SETTLED_MS;
-    serverGate = new ServerGate({
+    serverAdmission = new ServerAdmission({
       serverDirectory,
       serverRests,
       serverLimits,
@@ -104,7 +104,7 @@
     selector = new ServerSelector({
       vmSettings: { dataCentre: STABLE.dataCentre } as never,
       serverDirectory,
-      serverGate,
+      serverAdmission,
       releaseGate: trialGate(),
       releaseChoice: new ReleaseChoice({ sessionBook, unitHash }),
       rollOutFollower: { ready: true } as never,
@@ -196,29 +196,32 @@
     rest(TRIAL);
     // The first request of a part comes after its interval.
     assert.equal(chosen(), undefined);
-    assert.equal(serverGate.askableMs(STABLE), Infinity);
+    assert.equal(serverAdmission.askableMs(STABLE), Infinity);
     nowMs += 1_000;
     assert.equal(chosen(), STABLE.instance);
-    const place = serverGate.sending(STABLE);
+    const place = serverAdmission.reserve(STABLE);
     assert.equal(chosen(), undefined);
     place.release();
     assert.equal(chosen(), STABLE.instance);
-    assert.equal(serverGate.maySend(STABLE, serverGate.sending(STABLE)), true);
+    assert.equal(
+      serverAdmission.maySend(STABLE, serverAdmission.reserve(STABLE)),
+      true,
+    );
     assert.equal(chosen(), undefined);
     const endedMs = nowMs + 1;
     serverLimits.namesNone(STABLE, endedMs);
     assert.equal(chosen(), STABLE.instance);
-    assert.equal(serverGate.askableMs(STABLE), endedMs);
+    assert.equal(serverAdmission.askableMs(STABLE), endedMs);
   });
 
   it("should send nothing that was chosen before the word", () => {
     const place = limitAdmission.reserve(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), true);
+    assert.equal(serverAdmission.maySend(STABLE, place), true);
     rest(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), false);
+    assert.equal(serverAdmission.maySend(STABLE, place), false);
     nowMs += REST_MS;
-    assert.equal(serverGate.maySend(STABLE, place), true);
+    assert.equal(serverAdmission.maySend(STABLE, place), true);
     serverDirectory.leaves(STABLE);
-    assert.equal(serverGate.maySend(STABLE, place), false);
+    assert.equal(serverAdmission.maySend(STABLE, place), false);
   });
 });
--- a/src/gateway/suspect_places.ts
+++ b/src/gateway/suspect_placement.ts
@@ -8,21 +8,21 @@
  * that one too, and the next, after which an innocent stream has no run left. Apart, each
  * further crash meets the culprit and nobody who was beside it before.
  */
-export class SuspectPlaces {
+export class SuspectPlacement {
   readonly #counts = new Map<InstanceId, number>();
 
   /** Servers at which suspected requests run. */
-  get taken(): ReadonlySet<InstanceId> {
+  get occupiedServers(): ReadonlySet<InstanceId> {
     return new Set(this.#counts.keys());
   }
 
   /** Notes that a suspected request is sent to a server. */
-  begin(instance: InstanceId): void {
+  add(instance: InstanceId): void {
     this.#counts.set(instance, (this.#counts.get(instance) ?? 0) + 1);
   }
 
   /** Notes that it no longer runs there. */
-  end(instance: InstanceId): void {
+  remove(instance: InstanceId): void {
     const left = (this.#counts.get(instance) ?? 0) - 1;
     if (left > 0) this.#counts.set(instance, left);
     else this.#counts.delete(instance);
--- a/src/gateway/try_observer.ts
+++ b/src/gateway/try_observer.ts
@@ -15,7 +15,7 @@
 import type { Logger } from "../runtime/logger.ts";
 import { promptKeyOf, sessionOf } from "./server_selector.ts";
 import type { TryRecord } from "./try_record.ts";
-import { ownTokens, type PredictedWork } from "./work_predictor.ts";
+import { type PredictedWork, unsharedPromptTokens } from "./work_predictor.ts";
 
 interface Deps {
   readonly serverLoads: ServerLoads;
@@ -60,7 +60,7 @@
     const { server, head, record, work } = observed;
     const { serverLoads, promptHolders, sessionBook, clock } = this.#deps;
     const { instance } = server;
-    serverLoads.begin(instance, work.readMs + work.writeMs);
+    serverLoads.begin(instance, work.prefillMs + work.decodeMs);
     const key = promptKeyOf(head, record.model);
     if (key !== undefined) {
       promptHolders.sent({ key, instance }, clock.monotonicMs());
@@ -84,13 +84,13 @@
     if (record.firstByteMs !== undefined) return;
     record.firstByteMs = nowMs - record.startedMs;
     // With the first byte, the prompt has been read.
-    serverLoads.lighten(server.instance, work.readMs);
+    serverLoads.lighten(server.instance, work.prefillMs);
     silenceWatch.firstByte(kindOf(route, record.model), record.firstByteMs);
     if (record.model === undefined) return;
     this.#deps.readPace.observe({
       service,
       model: record.model,
-      tokens: ownTokens(head),
+      tokens: unsharedPromptTokens(head),
       elapsedMs: record.firstByteMs,
     });
   }
@@ -102,7 +102,7 @@
   ): void {
     const { server, record, work } = observed;
     const read = record.firstByteMs !== undefined;
-    const left = work.writeMs + (read ? 0 : work.readMs);
+    const left = work.decodeMs + (read ? 0 : work.prefillMs);
     this.#deps.serverLoads.end(server.instance, left);
     if (hasNotRun(outcome)) this.#forgetSession(observed);
     this.#noteHealth(outcome, server.instance);
--- a/src/gateway/try_observer_test.ts
+++ b/src/gateway/try_observer_test.ts
@@ -63,7 +63,7 @@
     route: "r-1" as RouteId,
     head: HEAD,
     record: newTryRecord(server, { model: undefined, ...times }),
-    work: { readMs: 1, writeMs: 1, sharedMs: 0 },
+    work: { prefillMs: 1, decodeMs: 1, sharedPrefillMs: 0 },
   };
   observer.began(observed);
   return observed;
--- a/src/gateway/try_sender.ts
+++ b/src/gateway/try_sender.ts
@@ -19,13 +19,13 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import type { ModelChoice } from "./model_choice.ts";
-import type { Admitted } from "./request_admission.ts";
+import type { ModelCascade } from "./model_cascade.ts";
+import type { AdmittedRequest } from "./request_admission.ts";
 import type { RetryPermit } from "./retry_permit.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNotices } from "./server_notices.ts";
 import type { Selection, ServerSelector } from "./server_selector.ts";
-import type { SuspectPlaces } from "./suspect_places.ts";
+import type { SuspectPlacement } from "./suspect_placement.ts";
 import type { StreamRelay } from "./stream_relay.ts";
 import type { ObservedTry, TryObserver } from "./try_observer.ts";
 import { endTryRecord, newTryRecord, type TryRecord } from "./try_record.ts";
@@ -43,9 +43,9 @@
 /** What all senders share. */
 export interface TrySenderDeps {
   readonly serverSelector: ServerSelector;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
   readonly placeBorrower: PlaceBorrower;
-  readonly suspectPlaces: SuspectPlaces;
+  readonly suspectPlacement: SuspectPlacement;
   readonly backendConnections: BackendConnections;
   readonly tryObserver: TryObserver;
   readonly trySilence: TrySilence;
@@ -61,7 +61,7 @@
   readonly exchange: CallerExchange;
   readonly body: Buffer | undefined;
   readonly service: ServiceId;
-  readonly models: ModelChoice;
+  readonly models: ModelCascade;
   readonly stream: StreamRelay;
 }
 
@@ -75,7 +75,7 @@
 
 /** What holds for one try. */
 export interface TryTerms {
-  readonly admitted: Admitted;
+  readonly admitted: AdmittedRequest;
   /** Time that the request has left, in milliseconds. */
   readonly leftMs: number;
   /** Decides by the head of an answer. */
@@ -137,7 +137,10 @@
    * Returns the server for the next try. One that was tried already comes only where no
    * other is left and the request `mayComeBack` to it.
    */
-  choose(admitted: Admitted, terms: ChoiceTerms): ServerRecord | undefined {
+  choose(
+    admitted: AdmittedRequest,
+    terms: ChoiceTerms,
+  ): ServerRecord | undefined {
     const other = this.chooseOther(admitted, terms);
     if (other !== undefined || !terms.mayComeBack) return other;
     const { model } = this.#request.models;
@@ -146,12 +149,12 @@
 
   /** The same, but never the server that was tried last. */
   chooseOther(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { mayComeBack, apart }: ChoiceTerms,
   ): ServerRecord | undefined {
     const { model } = this.#request.models;
     if (apart) {
-      const { taken } = this.#deps.suspectPlaces;
+      const { occupiedServers: taken } = this.#deps.suspectPlacement;
       const tried = new Set([...this.#tried, ...taken]);
       const alone = this.#select(admitted, { tried, model });
       if (alone !== undefined) return alone;
@@ -164,7 +167,7 @@
   }
 
   /** Whether a server is left that was not tried and is not avoided. */
-  hasSound(admitted: Admitted, { apart }: ChoiceTerms): boolean {
+  hasSound(admitted: AdmittedRequest, { apart }: ChoiceTerms): boolean {
     const { serverLoads, clock } = this.#deps;
     const server = this.chooseOther(admitted, { mayComeBack: false, apart });
     return server !== undefined &&
@@ -172,19 +175,22 @@
   }
 
   /** Time until a model would begin to answer on the server that would be chosen. */
-  predictStartMs(admitted: Admitted, model: ModelId): number {
+  predictStartMs(admitted: AdmittedRequest, model: ModelId): number {
     const work = this.#predictWork(admitted, model);
     const server = this.#select(admitted, { tried: NONE, model });
     if (server === undefined) return Infinity;
     const { serverLoads, serverSelector } = this.#deps;
     const { head } = this.#request.exchange;
     const held = serverSelector.holds(server, { head, model });
-    return serverLoads.work(server.instance) + work.readMs +
-      (held ? 0 : work.sharedMs);
+    return serverLoads.work(server.instance) + work.prefillMs +
+      (held ? 0 : work.sharedPrefillMs);
   }
 
   /** Borrows a place for the request from another VM; returns whether it could. */
-  borrow(admitted: Admitted, { mayComeBack }: ChoiceTerms): Promise<boolean> {
+  borrow(
+    admitted: AdmittedRequest,
+    { mayComeBack }: ChoiceTerms,
+  ): Promise<boolean> {
     const { serverSelector, placeBorrower } = this.#deps;
     const { model } = this.#request.models;
     const tried = mayComeBack ? NONE : this.#tried;
@@ -193,7 +199,7 @@
   }
 
   /** Milliseconds until a server takes the request, where all rest or are cold. */
-  opensInMs(admitted: Admitted): number | undefined {
+  opensInMs(admitted: AdmittedRequest): number | undefined {
     const { model } = this.#request.models;
     return this.#deps.serverSelector.opensInMs(
       this.#selection(admitted, { tried: NONE, model }),
@@ -210,9 +216,9 @@
     const {
       backendConnections,
       tryObserver,
-      serverGate,
+      serverAdmission,
       serverNotices,
-      suspectPlaces,
+      suspectPlacement,
       attemptAcks,
     } = this.#deps;
     const { exchange, stream } = this.#request;
@@ -220,8 +226,8 @@
     this.#server = server;
     this.#tries.push(observed.record);
     this.#tried.add(server.instance);
-    const place = serverGate.sending(server);
-    if (terms.apart) suspectPlaces.begin(server.instance);
+    const place = serverAdmission.reserve(server);
+    if (terms.apart) suspectPlacement.add(server.instance);
     tryObserver.began(observed);
     this.#current = new BackendTry(backendConnections, {
       server,
@@ -231,7 +237,7 @@
       fresh: !mayRunAgain(terms.admitted.route),
       // While the connection came up, its server may have asked for rest or less, or may leave.
       maySend: () => {
-        const maySend = serverGate.maySend(server, place) &&
+        const maySend = serverAdmission.maySend(server, place) &&
           this.#mayRetry(server, terms);
         if (maySend) this.#noteSent(observed, terms);
         return maySend;
@@ -239,7 +245,7 @@
       sink: {
         judge: (head) => {
           observed.record.confidence = head.decoded.confidence;
-          serverGate.took(server, observed.record.startedMs);
+          serverAdmission.recordAccepted(server, observed.record.startedMs);
           if (head.status < FIRST_FAILURE_STATUS) {
             serverNotices.answered(
               server,
@@ -265,7 +271,7 @@
     this.#current = undefined;
     place.release();
     if (outcome.tag === "withheld") this.#tried.delete(server.instance);
-    if (terms.apart) suspectPlaces.end(server.instance);
+    if (terms.apart) suspectPlacement.remove(server.instance);
     if (outcome.tag === "not_sent" && outcome.reason === REFUSED) {
       attemptAcks.ended(server);
     }
@@ -305,7 +311,7 @@
 
   /** Says why the try under way should be given up as silent, if it should. */
   silence(
-    { table, route }: Admitted,
+    { table, route }: AdmittedRequest,
     nowMs: number,
   ): SilenceReason | undefined {
     const record = this.#tries.at(-1);
@@ -319,7 +325,7 @@
   }
 
   #select(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { tried, model }: {
       tried: ReadonlySet<InstanceId>;
       model: ModelId | undefined;
@@ -331,23 +337,23 @@
   }
 
   #selection(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { tried, model }: Pick<Selection, "tried" | "model">,
   ): Selection {
     const { exchange, service } = this.#request;
-    const { sharedMs } = this.#predictWork(admitted, model);
+    const { sharedPrefillMs: sharedMs } = this.#predictWork(admitted, model);
     const { head } = exchange;
     return { service, head, model, tried, isRetry: this.wasSent, sharedMs };
   }
 
-  #observe(server: ServerRecord, admitted: Admitted): ObservedTry {
+  #observe(server: ServerRecord, admitted: AdmittedRequest): ObservedTry {
     const { exchange, service, models } = this.#request;
     const { model } = models;
     const { clock, serverLoads } = this.#deps;
     const work = this.#predictWork(admitted, model);
     // Its own shared parts included: whether the server holds them is not known for sure.
-    const expectedMs = serverLoads.work(server.instance) + work.readMs +
-      work.sharedMs;
+    const expectedMs = serverLoads.work(server.instance) + work.prefillMs +
+      work.sharedPrefillMs;
     return {
       server,
       service,
@@ -363,7 +369,7 @@
   }
 
   #predictWork(
-    { table }: Admitted,
+    { table }: AdmittedRequest,
     model: ModelId | undefined,
   ): PredictedWork {
     const { exchange, service } = this.#request;
--- a/src/gateway/try_silence.ts
+++ b/src/gateway/try_silence.ts
@@ -14,7 +14,7 @@
 } from "../core/servers/silence.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNotices } from "./server_notices.ts";
 import type { TryRecord } from "./try_record.ts";
 
@@ -24,7 +24,7 @@
   readonly serverProbe: ServerProbe;
   readonly serverNotices: ServerNotices;
   readonly attemptAcks: Pick<AttemptAcks, "probed">;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
 }
 
 /** A try that waits for bytes of its server. */
@@ -49,7 +49,7 @@
     { server, record, route, hasEngine }: WaitingServer,
     nowMs: number,
   ): SilenceReason | undefined {
-    const { silenceWatch, serverProbe, serverGate } = this.#deps;
+    const { silenceWatch, serverProbe, serverAdmission } = this.#deps;
     if (this.#hasRestarted(server)) return "server_restarted";
     const waiting = {
       instance: record.server,
@@ -58,7 +58,7 @@
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
       byteMs: record.byteMs,
-      askableMs: hasEngine ? serverGate.askableMs(server) : undefined,
+      askableMs: hasEngine ? serverAdmission.askableMs(server) : undefined,
     };
     if (hasEngine && silenceWatch.isQuiet(waiting, nowMs)) {
       serverProbe.ask(
--- a/src/gateway/try_silence_test.ts
+++ b/src/gateway/try_silence_test.ts
@@ -11,7 +11,7 @@
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { SilenceWatch } from "../core/servers/silence.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNotices } from "./server_notices.ts";
 import { newTryRecord } from "./try_record.ts";
 import { TrySilence } from "./try_silence.ts";
@@ -47,7 +47,9 @@
     serverProbe: { ask: () => void (asked += 1) } as unknown as ServerProbe,
     serverNotices: {} as ServerNotices,
     attemptAcks: { probed: () => {} },
-    serverGate: { askableMs: () => askableMs } as unknown as ServerGate,
+    serverAdmission: {
+      askableMs: () => askableMs,
+    } as unknown as ServerAdmission,
   });
 });
 
--- a/src/gateway/work_predictor.ts
+++ b/src/gateway/work_predictor.ts
@@ -17,11 +17,11 @@
 /** Predicted parts of a request's work, in milliseconds of a server. */
 export interface PredictedWork {
   /** Until the first token: reading what is new of the prompt. */
-  readonly readMs: number;
+  readonly prefillMs: number;
   /** After the first token. */
-  readonly writeMs: number;
+  readonly decodeMs: number;
   /** What reading the shared parts costs a server that does not hold them. */
-  readonly sharedMs: number;
+  readonly sharedPrefillMs: number;
 }
 
 /** What a request is sent for. */
@@ -31,7 +31,7 @@
 }
 
 /** Prompt tokens that no other request shares. */
-export function ownTokens(
+export function unsharedPromptTokens(
   { promptParts, promptTokens }: CallerHead,
 ): number {
   const shared = promptParts.slice(0, -1)
@@ -51,9 +51,9 @@
   predict(head: CallerHead, { service, model }: WorkTarget): PredictedWork {
     const engine = service?.engine;
     if (service === undefined || engine === undefined) {
-      return { readMs: PLAIN_WORK_MS, writeMs: 0, sharedMs: 0 };
+      return { prefillMs: PLAIN_WORK_MS, decodeMs: 0, sharedPrefillMs: 0 };
     }
-    const own = ownTokens(head);
+    const own = unsharedPromptTokens(head);
     const shared = Math.max(0, head.promptTokens - own);
     const size = relativeSize(engine, model);
     const learnt = model === undefined
@@ -61,9 +61,9 @@
       : this.#readPace.msPerToken(service.id, model);
     const msPerToken = learnt ?? size / PROMPT_TOKENS_PER_MS;
     return {
-      readMs: 1 + msPerToken * own,
-      writeMs: size * head.outputTokens * MS_PER_OUTPUT_TOKEN,
-      sharedMs: msPerToken * shared,
+      prefillMs: 1 + msPerToken * own,
+      decodeMs: size * head.outputTokens * MS_PER_OUTPUT_TOKEN,
+      sharedPrefillMs: msPerToken * shared,
     };
   }
 }
--- a/src/gateway/work_predictor_test.ts
+++ b/src/gateway/work_predictor_test.ts
@@ -42,12 +42,14 @@
 
 describe("prediction of work", () => {
   it("should tell own parts of a prompt from shared ones", () => {
-    const { readMs, sharedMs } = predict(LARGE);
+    const { prefillMs: readMs, sharedPrefillMs: sharedMs } = predict(LARGE);
     assert.equal(Math.round(sharedMs / (readMs - 1)), 3);
   });
 
   it("should expect dearer models to be slower before any was watched", () => {
-    assert.ok(predict(LARGE).sharedMs >= 5 * predict(SMALL).sharedMs);
+    assert.ok(
+      predict(LARGE).sharedPrefillMs >= 5 * predict(SMALL).sharedPrefillMs,
+    );
   });
 
   it("should go by the pace that was learnt", () => {
@@ -59,14 +61,14 @@
         elapsedMs: 180,
       });
     }
-    assert.equal(Math.round(predict(LARGE).sharedMs), 480);
+    assert.equal(Math.round(predict(LARGE).sharedPrefillMs), 480);
   });
 
   it("should take requests to plain services as alike", () => {
     const predictor = new WorkPredictor({ readPace });
     const plain = { ...SERVICE, engine: undefined };
     const work = predictor.predict(HEAD, { service: plain, model: undefined });
-    assert.equal(work.sharedMs, 0);
-    assert.ok(work.readMs > 0);
+    assert.equal(work.sharedPrefillMs, 0);
+    assert.ok(work.prefillMs > 0);
   });
 });
