--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -1,4 +1,4 @@
-/** Finds out which requests were beginning to run where servers ended, and keeps them back. */
+/** Detects requests that were starting to run on a backend server when it crashed. */
 
 import type { ServerEndCheck } from "../backends/server_end_check.ts";
 import { type Crash, mayHaveCrashed } from "../core/crashes/crash.ts";
@@ -23,27 +23,28 @@
   readonly logger: Logger;
 }
 
-/** A request, as far as its crashes go. */
+/** The properties of a request that crash detection needs. */
 export interface MonitoredRequest {
   readonly identity: RequestIdentity;
+  /** Id that the caller gave to its attempt. */
   readonly attemptId: string | undefined;
   readonly account: AccountId | undefined;
   readonly service: ServiceId;
-  /** Whether the first byte of an answer shows that a run has begun. */
+  /** Whether the first byte of the response shows that the request has started to run. */
   readonly streaming: boolean;
 }
 
-/** A try whose connection broke off. */
+/** An attempt whose connection to the server was lost. */
 export interface BrokenAttempt {
   readonly server: ServerRecord;
   readonly record: TryRecord;
-  /** Servers that had ended under the request when it was sent, or broken it off before. */
+  /** Servers that had crashed during the request, or lost its connection, before this attempt. */
   readonly precedingServers: readonly ServerLife[];
 }
 
-const FREE: Standing = { tag: "free" };
+const NOT_SUSPECTED: Standing = { tag: "free" };
 
-/** Watches over the requests of this VM. */
+/** Records server crashes and successes of the requests on this VM, for quarantine decisions. */
 export class CrashDetector {
   readonly #deps: Deps;
 
@@ -51,21 +52,21 @@
     this.#deps = deps;
   }
 
-  /** How a request stands. Its key is worked out only where some request is suspected. */
+  /** Quarantine status of a request. Its key is computed only if any crash is on record. */
   quarantineStatus({ identity }: MonitoredRequest): Standing {
     const { crashBook, clock } = this.#deps;
-    if (crashBook.isEmpty) return FREE;
+    if (crashBook.isEmpty) return NOT_SUSPECTED;
     return crashBook.standing(identity.key, clock.monotonicMs());
   }
 
-  /** Servers that are known to have ended under a request. */
+  /** Servers known to have crashed during a request. */
   crashedServers({ identity }: MonitoredRequest): readonly ServerLife[] {
     const { crashBook } = this.#deps;
     if (crashBook.isEmpty) return [];
     return crashBook.crashesOf(identity.key).map(({ life }) => life);
   }
 
-  /** Notes that a request has run to a good end, whatever it was suspected of. */
+  /** Records that a request completed successfully, which clears it of suspicion. */
   recordSuccess({ identity, attemptId: attempt }: MonitoredRequest): void {
     const { crashBook, clock, logger } = this.#deps;
     if (crashBook.isEmpty) return;
@@ -73,41 +74,47 @@
     const request = identity.key;
     const crashes = crashBook.crashesOf(request).length;
     if (!crashBook.noteGoodEnd({ request, atMs: nowMs }, nowMs)) return;
-    logger.info("Request is cleared by a good end", {
-      request,
-      attempt,
-      crashes,
-    });
+    logger.info(
+      "Request completed and is no longer suspected of crashing servers",
+      {
+        request,
+        attempt,
+        crashes,
+      },
+    );
   }
 
   /**
-   * Notes a try that broke off; resolves when it is known whether its server has ended. Not a
-   * link that was reset, which says nothing about the request.
+   * Records an attempt that lost its connection; resolves once it is known whether the server
+   * process ended. A mere connection reset is not counted, as it says nothing about the request.
    */
   async recordDisconnect(
-    watched: MonitoredRequest,
-    broken: BrokenAttempt,
+    monitored: MonitoredRequest,
+    brokenAttempt: BrokenAttempt,
   ): Promise<void> {
     const { serverEndCheck, clock, gatewayMetrics } = this.#deps;
-    const { server, record } = broken;
+    const { server, record } = brokenAttempt;
     const endedMs = clock.monotonicMs();
     const suspected = mayHaveCrashed({
-      streaming: watched.streaming,
+      streaming: monitored.streaming,
       firstByteMs: record.firstByteMs,
       endedMs: endedMs - record.startedMs,
     });
     if (!await serverEndCheck.hasEnded(server)) return;
-    gatewayMetrics.serverEnds.inc({ service: watched.service });
-    const crash = this.#crashOf(watched, { broken, endedMs });
-    this.#log(crash, { watched, broken, suspected });
+    gatewayMetrics.serverEnds.inc({ service: monitored.service });
+    const crash = this.#crashOf(monitored, { brokenAttempt, endedMs });
+    this.#log(crash, { monitored, brokenAttempt, suspected });
     if (suspected) this.#deps.crashNews.seen(crash);
   }
 
   #crashOf(
     { identity, account, service }: MonitoredRequest,
-    { broken, endedMs }: { broken: BrokenAttempt; endedMs: number },
+    { brokenAttempt, endedMs }: {
+      brokenAttempt: BrokenAttempt;
+      endedMs: number;
+    },
   ): Crash {
-    const { server, record, precedingServers: after } = broken;
+    const { server, record, precedingServers: after } = brokenAttempt;
     return {
       request: identity.key,
       account,
@@ -122,17 +129,17 @@
 
   #log(
     { request, life, address, beganMs, endedMs }: Crash,
-    { watched, broken, suspected }: {
-      watched: MonitoredRequest;
-      broken: BrokenAttempt;
+    { monitored, brokenAttempt, suspected }: {
+      monitored: MonitoredRequest;
+      brokenAttempt: BrokenAttempt;
       suspected: boolean;
     },
   ): void {
-    const { server, record } = broken;
-    this.#deps.logger.info("Server ended under a request", {
+    const { server, record } = brokenAttempt;
+    this.#deps.logger.info("Server process ended during a request", {
       request,
-      attempt: watched.attemptId,
-      service: watched.service,
+      attempt: monitored.attemptId,
+      service: monitored.service,
       server: life,
       address,
       release: server.release,
--- a/src/gateway/model_cascade.ts
+++ b/src/gateway/model_cascade.ts
@@ -1,4 +1,4 @@
-/** Which model a request is asked of, where the choice is ours. */
+/** Chooses the model for requests whose caller leaves the choice to the router. */
 
 import { escalateTo, firstModel } from "../core/cascade/model_ladder.ts";
 import type { ModelPace } from "../core/cascade/model_pace.ts";
@@ -6,27 +6,27 @@
 import { mayRunAgain, type Route } from "../core/routes/route.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 
-/** What is known when the head of an answer has come. */
+/** What is known about a request when the response head of an attempt arrives. */
 export interface EscalationInput {
   readonly route: Route;
-  /** 0 to 100, undefined where the server does not say. */
+  /** Confidence of the model in its answer, 0 to 100; undefined if the server reports none. */
   readonly confidence: number | undefined;
-  /** Time since the request came, in milliseconds. */
+  /** Time since the request arrived. */
   readonly usedMs: number;
-  /** Time that the request has, in milliseconds. */
+  /** Time limit of the request. */
   readonly limitMs: number;
   /** Predicts the time to the first token of a model, in milliseconds. */
   readonly predictStartMs: (model: ModelId) => number;
-  /** Further runs that the route allows. */
+  /** Number of further runs that the route allows. */
   readonly runsLeft: number;
 }
 
-/** Begins with one model and moves on to a larger one. */
+/** Starts with the initial model of a route and escalates to a larger one on low confidence. */
 export class ModelCascade {
   readonly #modelPace: ModelPace;
   readonly #head: CallerHead;
   #model: ModelId | undefined;
-  #larger: ModelId | undefined;
+  #nextModel: ModelId | undefined;
 
   constructor(
     modelPace: ModelPace,
@@ -37,18 +37,18 @@
     if (head.choosesModel) this.#model = firstModel(route);
   }
 
-  /** Model to ask; undefined where the caller has named one or none is needed. */
+  /** Model to use; undefined if the caller named one or the service has no models. */
   get model(): ModelId | undefined {
     return this.#model;
   }
 
-  /** Whether a larger model should be asked instead; `moveOn` then does so. */
-  shouldEscalate(judged: EscalationInput): boolean {
-    const { route, confidence, usedMs, limitMs, runsLeft } = judged;
+  /** Whether to retry with a larger model; `escalate` then switches to it. */
+  shouldEscalate(input: EscalationInput): boolean {
+    const { route, confidence, usedMs, limitMs, runsLeft } = input;
     const largest = route.models.at(-1);
     if (this.#model === undefined || largest === undefined) return false;
     if (!mayRunAgain(route)) return false;
-    this.#larger = escalateTo({
+    this.#nextModel = escalateTo({
       models: route.models,
       model: this.#model,
       confidence,
@@ -56,16 +56,16 @@
       targetMs: route.targetMs ?? limitMs,
       limitMs,
       largest: this.#predict(largest, route),
-      startMs: judged.predictStartMs(largest),
+      startMs: input.predictStartMs(largest),
       runsLeft,
     });
-    return this.#larger !== undefined;
+    return this.#nextModel !== undefined;
   }
 
-  /** Asks the larger model from now on. */
+  /** Switches to the larger model selected by `shouldEscalate`. */
   escalate(): void {
-    this.#model = this.#larger ?? this.#model;
-    this.#larger = undefined;
+    this.#model = this.#nextModel ?? this.#model;
+    this.#nextModel = undefined;
   }
 
   #predict(model: ModelId, route: Route) {
--- a/src/gateway/request_admission.ts
+++ b/src/gateway/request_admission.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether a request may run, and as what: once, when all of it has been read. Its
- * sender sent it before then, so however late its last try begins, no request runs that was
- * sent longer after the removal of its key than is allowed.
+ * Decides whether a request may run, and with which route and account. This is decided once, after
+ * the whole request has been read and thus sent. However late its last attempt starts, no request
+ * runs that was sent more than the allowed time after the removal of its key.
  */
 
 import type { AccountId } from "../core/ids.ts";
@@ -14,19 +14,19 @@
 import type { CallerExchange } from "./caller_exchange.ts";
 
 /**
- * Part of the time allowed for the removal of keys after which a confirmation no longer
- * counts; the rest covers the way to the server and a slow VM.
+ * Maximum age of a configuration confirmation, as a share of the time allowed for key removal.
+ * The remainder covers the time to reach the server, and slow VMs.
  */
-const USABLE_CONFIRMATION = 0.8;
+const MAX_CONFIRMATION_AGE = 0.8;
 
-/** What a request may run as, with all tries that it takes. */
+/** The route, account and priority under which all attempts at an admitted request run. */
 export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
-  /** Undefined where the route needs no key. */
+  /** Undefined if the route requires no key. */
   readonly account: AccountId | undefined;
   readonly priority: number;
-  /** Time since the configuration was confirmed as the newest, in milliseconds. */
+  /** Time since the configuration was last confirmed as the newest. */
   readonly confirmedAgeMs: number;
 }
 
@@ -35,7 +35,7 @@
   readonly bounds: DeploymentBounds;
 }
 
-/** Checks route and key against the configuration in force. */
+/** Matches requests to routes and checks their keys against the active configuration. */
 export class RequestAdmission {
   readonly #deps: Deps;
 
@@ -43,7 +43,7 @@
     this.#deps = deps;
   }
 
-  /** Returns what a request that has just been read may run as. */
+  /** Admits or refuses a request that has just been read completely. */
   admit(exchange: CallerExchange): Result<AdmittedRequest, Refusal> {
     const { table } = this.#deps.routingFollower;
     if (table === undefined) return fail({ tag: "no_configuration" });
@@ -53,7 +53,7 @@
     const found = table.lookUpKey(exchange.head.key);
     if (found.tag === "no_accounts") return this.#admitted(table, { route });
     const stale = this.#staleRefusal();
-    // A key that is unknown here may be one that was added meanwhile.
+    // An unknown key may have been added since the last confirmation, so staleness comes first.
     if (stale !== undefined) return fail(stale);
     if (found.tag === "unknown") return fail({ tag: "unknown_key" });
     const { id: account, priority } = found.account;
@@ -81,7 +81,7 @@
     const { bounds, routingFollower } = this.#deps;
     if (!bounds.refuseUnconfirmedKeys) return undefined;
     const ageMs = routingFollower.confirmedAgeMs();
-    if (ageMs < USABLE_CONFIRMATION * bounds.keyRemovalMs) return undefined;
+    if (ageMs < MAX_CONFIRMATION_AGE * bounds.keyRemovalMs) return undefined;
     return { tag: "unconfirmed_keys", ageMs };
   }
 }
--- a/src/gateway/request_crash_tracker.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -1,4 +1,4 @@
-/** What one request has to do with servers that end. */
+/** Tracks the server crashes that occur during one request. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { Standing } from "../core/crashes/crash_book.ts";
@@ -9,71 +9,73 @@
 import type { TryRecord } from "./try_record.ts";
 
 /**
- * Longest wait before a request is sent again for word whether its last server has ended. Most
- * servers refuse a connection within a millisecond, across regions within twenty; a server that
- * has fallen silent must not hold up what is innocent.
+ * Maximum time that a retry waits for the check whether its last server process ended. An ended
+ * process refuses the connection within 1 ms in most cases, and within 20 ms across regions. An
+ * unresponsive server must not delay requests that crash nothing.
  */
-const END_WAIT_MS = 100;
-/** Pause before a request asks again whether it may be sent, while verdicts settle. */
-const SETTLE_PAUSE_MS = 50;
+const MAX_CRASH_CHECK_WAIT_MS = 100;
+/** Polling interval while the quarantine decision for a request is pending. */
+const STATUS_POLL_INTERVAL_MS = 50;
 
-/** Keeps the book of crashes for one request. */
+/** Reports the lost connections of one request, and looks up its quarantine status. */
 export class RequestCrashTracker {
-  readonly #watch: CrashDetector;
-  readonly #watched: MonitoredRequest;
-  /** Servers that are known to have ended under the request. */
-  #ended: readonly ServerLife[] = [];
-  /** Servers at which a try of this attempt broke off, whether or not they have ended. */
-  readonly #lost: ServerLife[] = [];
+  readonly #detector: CrashDetector;
+  readonly #request: MonitoredRequest;
+  /** Servers known to have crashed during the request. */
+  #crashedServers: readonly ServerLife[] = [];
+  /** Servers that this VM lost connections to during the request, whether or not they crashed. */
+  readonly #disconnectedServers: ServerLife[] = [];
 
-  constructor(watch: CrashDetector, watched: MonitoredRequest) {
-    this.#watch = watch;
-    this.#watched = watched;
+  constructor(detector: CrashDetector, request: MonitoredRequest) {
+    this.#detector = detector;
+    this.#request = request;
   }
 
-  /** Waits until verdicts have settled, or `isOver`; returns how the request stands before a try. */
+  /** Waits until the quarantine decision is final, or `isOver`; returns the quarantine status. */
   async waitUntilSettled(isOver: () => boolean): Promise<Standing> {
-    let standing = this.#watch.quarantineStatus(this.#watched);
-    while (standing.tag === "settling" && !isOver()) {
-      await pause(SETTLE_PAUSE_MS);
-      standing = this.#watch.quarantineStatus(this.#watched);
+    let status = this.#detector.quarantineStatus(this.#request);
+    while (status.tag === "settling" && !isOver()) {
+      await pause(STATUS_POLL_INTERVAL_MS);
+      status = this.#detector.quarantineStatus(this.#request);
     }
-    this.#ended = this.#watch.crashedServers(this.#watched);
-    return standing;
+    this.#crashedServers = this.#detector.crashedServers(this.#request);
+    return status;
   }
 
-  /** Whether servers were known to have ended under the request before this try. */
+  /** Whether servers were known to have crashed during the request before this attempt. */
   get isSuspected(): boolean {
-    return this.#ended.length > 0;
+    return this.#crashedServers.length > 0;
   }
 
-  /** Whether the first byte of an answer shows that a run has begun. */
+  /** Whether the first byte of the response shows that the request has started to run. */
   get isStream(): boolean {
-    return this.#watched.streaming;
+    return this.#request.streaming;
   }
 
-  /** Whether the request must not begin to run, wherever it is. */
+  /** Whether the request must not start to run on any server. */
   get isQuarantined(): boolean {
-    return this.#watch.quarantineStatus(this.#watched).tag === "quarantined";
+    return this.#detector.quarantineStatus(this.#request).tag === "quarantined";
   }
 
-  /** Finds out what the end of a try says, before another one is made. */
+  /** Checks after a lost connection whether the server crashed, before another attempt is made. */
   async recordAttemptEnd(
     outcome: TryOutcome,
     { server, record }: { server: ServerRecord; record: TryRecord | undefined },
   ): Promise<void> {
     if (outcome.tag !== "broken" && outcome.tag !== "stream_broken") return;
     if (record === undefined) return;
-    // What this attempt has lost came before, also where word of its end is still to come.
-    const after = [...new Set([...this.#ended, ...this.#lost])];
-    const broken = { server, record, precedingServers: after };
-    this.#lost.push(lifeOf(server));
-    const known = this.#watch.recordDisconnect(this.#watched, broken);
-    await Promise.race([known, pause(END_WAIT_MS)]);
+    // Connections lost earlier precede this one, even if their server checks are still pending.
+    const precedingServers = [
+      ...new Set([...this.#crashedServers, ...this.#disconnectedServers]),
+    ];
+    const attempt = { server, record, precedingServers };
+    this.#disconnectedServers.push(lifeOf(server));
+    const checked = this.#detector.recordDisconnect(this.#request, attempt);
+    await Promise.race([checked, pause(MAX_CRASH_CHECK_WAIT_MS)]);
   }
 
-  /** Notes that the request has run to a good end. */
+  /** Records that the request completed successfully. */
   recordSuccess(): void {
-    this.#watch.recordSuccess(this.#watched);
+    this.#detector.recordSuccess(this.#request);
   }
 }
--- a/src/gateway/request_crash_tracker_test.ts
+++ b/src/gateway/request_crash_tracker_test.ts
@@ -1,7 +1,7 @@
 /**
- * On a busy machine a request that crashes servers was sent to a fourth one, once. Where a VM is
- * behind, word that a server has ended may come after the request was sent again; such runs
- * then did not count as one after the other, though they were made by one attempt.
+ * On a slow VM, the check that a server crashed may complete only after the request was retried.
+ * The runs of one attempt by the caller then did not count as consecutive, and a request that
+ * crashes servers reached a fourth server.
  */
 
 import assert from "node:assert/strict";
@@ -20,14 +20,14 @@
 import { newTryRecord } from "./try_record.ts";
 
 const SERVICE = "tracker" as ServiceId;
-/** Longer than verdicts take to settle. */
-const SETTLED_MS = 1_000;
+/** Longer than a quarantine decision stays pending. */
+const AFTER_SETTLING_MS = 1_000;
 
 let nowMs: number;
 let book: CrashBook;
-let crashes: RequestCrashTracker;
-/** Tell that the servers of the tries so far have ended. */
-let tellEnded: (() => void)[];
+let tracker: RequestCrashTracker;
+/** Completes the pending checks of the attempts so far: their servers have crashed. */
+let confirmCrashes: (() => void)[];
 
 const identity = new RequestIdentity({
   method: "GET",
@@ -40,12 +40,12 @@
 beforeEach(() => {
   nowMs = 10_000;
   book = new CrashBook();
-  tellEnded = [];
+  confirmCrashes = [];
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
   const logger = new SilentLogger();
   const hasEnded = () =>
-    new Promise<boolean>((resolve) => tellEnded.push(() => resolve(true)));
-  const watch = new CrashDetector({
+    new Promise<boolean>((resolve) => confirmCrashes.push(() => resolve(true)));
+  const detector = new CrashDetector({
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
     crashBook: book,
@@ -54,7 +54,7 @@
     clock,
     logger,
   });
-  crashes = new RequestCrashTracker(watch, {
+  tracker = new RequestCrashTracker(detector, {
     identity,
     attemptId: undefined,
     account: undefined,
@@ -63,9 +63,9 @@
   });
 });
 
-/** Sends the request to a server, which ends 20 ms after the first byte. */
+/** Sends the request to a server that crashes 20 ms after the first byte. */
 async function crash(n: number): Promise<void> {
-  await crashes.waitUntilSettled(() => false);
+  await tracker.waitUntilSettled(() => false);
   const server = serverRecord(`i-${n}`, { address: `10.0.0.${n}:80` });
   const record = newTryRecord(server, {
     model: undefined,
@@ -75,18 +75,18 @@
   record.firstByteMs = 10;
   nowMs += 30;
   const reason = "UND_ERR_SOCKET";
-  await crashes.recordAttemptEnd({ tag: "stream_broken", reason }, {
+  await tracker.recordAttemptEnd({ tag: "stream_broken", reason }, {
     server,
     record,
   });
 }
 
-describe("crashes under one request", () => {
-  it("should count as one after the other though word of each comes late", async () => {
+describe("crashes during one request", () => {
+  it("should count as consecutive even if each crash is confirmed late", async () => {
     for (const n of [1, 2, 3]) await crash(n);
-    for (const tell of tellEnded) tell();
+    for (const confirm of confirmCrashes) confirm();
     await new Promise(setImmediate);
-    const standing = book.standing(identity.key, nowMs + SETTLED_MS);
-    assert.equal(standing.tag, "quarantined");
+    const status = book.standing(identity.key, nowMs + AFTER_SETTLING_MS);
+    assert.equal(status.tag, "quarantined");
   });
 });
--- a/src/gateway/request_finisher.ts
+++ b/src/gateway/request_finisher.ts
@@ -1,4 +1,4 @@
-/** How a request ends that gets no whole answer, or waits for a place before that. */
+/** Ends requests that get no complete response, after a wait for a server if one is worthwhile. */
 
 import type { Refusal } from "../core/refusal.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
@@ -7,29 +7,29 @@
 import type { RunTally } from "./run_tally.ts";
 
 /**
- * Part of the wait for servers that rest, over which their callers come back: all at once they
- * would fill the first of them again.
+ * Jitter on the advertised retry delay while all servers back off. Without it, all callers would
+ * return simultaneously and overload the first server that is available again.
  */
-const RETURN_SPREAD = 0.25;
+const RETRY_DELAY_JITTER = 0.25;
 
 interface Deps {
   readonly requestLog: RequestLog;
   readonly chance: () => number;
 }
 
-/** What the end of a request depends on where no server takes it. */
+/** Determines how a request ends that no server accepts. */
 export interface NoServerContext {
-  /** Why, where it is not the servers. */
+  /** Reason for the refusal, if the servers are not the cause. */
   readonly reason?: string | undefined;
-  /** Milliseconds until a server takes it, where all say so. */
+  /** Milliseconds until a server accepts the request; undefined if unknown. */
   readonly opensInMs: number | undefined;
-  /** Time that the request has left, in milliseconds. */
+  /** Time left until the deadline of the request. */
   readonly leftMs: number;
-  /** Whether this VM has given up a run that its server had not ended. */
+  /** Whether this VM abandoned a run that its server had not ended. */
   readonly hasAbandonedRun: boolean;
 }
 
-/** Ends one request. */
+/** Ends one request with a refusal, or by cutting its stream. */
 export class RequestFinisher {
   readonly #deps: Deps;
   readonly #exchange: CallerExchange;
@@ -51,43 +51,48 @@
   }
 
   /**
-   * Ends a request that no server takes. One that has lost a run waits for a place before that:
-   * returns for how long then, in milliseconds. It is owed its end where its caller has a part
-   * of the answer or this VM gave the run up.
+   * Refuses a request that no server accepts, unless it should wait for one: returns the wait in
+   * milliseconds then. A request must complete if its caller has received part of the response, or
+   * if this VM abandoned its run.
    */
   waitOrRefuse(
     { reason, opensInMs, leftMs, hasAbandonedRun: leftRunning }:
       NoServerContext,
   ): number | undefined {
-    const owed = this.#exchange.state === "begun" || leftRunning;
-    const waitMs = this.#tally.nextWaitMs({ opensInMs, leftMs, owed });
+    const mustComplete = this.#exchange.state === "begun" || leftRunning;
+    const waitMs = this.#tally.nextWaitMs({ opensInMs, leftMs, mustComplete });
     if (waitMs !== undefined) return waitMs;
-    const toldMs = opensInMs === undefined
+    const retryAfterMs = opensInMs === undefined
       ? undefined
-      : this.#spread(opensInMs);
-    this.refuse(this.#tally.noServerRefusal({ reason, opensInMs: toldMs }));
+      : this.#withJitter(opensInMs);
+    this.refuse(
+      this.#tally.noServerRefusal({ reason, opensInMs: retryAfterMs }),
+    );
     return undefined;
   }
 
-  /** Ends a request whose time is up. */
+  /** Refuses a request that exceeded its deadline. */
   refuseExpired(): void {
     this.refuse(this.#tally.timeoutRefusal());
   }
 
-  /** Gives the final answer, or cuts a stream that has begun. */
+  /** Sends the refusal, or cuts the stream if the response has begun. */
   refuse(refusal: Refusal): void {
     const { requestLog } = this.#deps;
     if (this.#exchange.isOver) return;
     if (this.#exchange.state === "begun") {
       this.#exchange.cut();
-      requestLog.cut(this.#exchange, { refusal, run: this.#summary() });
+      requestLog.recordStreamCut(this.#exchange, {
+        refusal,
+        run: this.#summary(),
+      });
     } else {
       this.#exchange.refuse(refusal);
-      requestLog.refused(this.#exchange, refusal);
+      requestLog.recordRefusal(this.#exchange, refusal);
     }
   }
 
-  #spread(waitMs: number): number {
-    return waitMs * (1 + RETURN_SPREAD * this.#deps.chance());
+  #withJitter(waitMs: number): number {
+    return waitMs * (1 + RETRY_DELAY_JITTER * this.#deps.chance());
   }
 }
--- a/src/gateway/request_identity.ts
+++ b/src/gateway/request_identity.ts
@@ -1,13 +1,13 @@
-/** What makes two requests of callers the same. */
+/** Identifies attempts by callers at the same request. */
 
 import type { AccountId, RequestKey } from "../core/ids.ts";
 import { shortDigest } from "../runtime/hashing.ts";
 
-/** Characters of a key: 128 bits, so that no two requests share one by chance. */
+/** Hexadecimal digits of a key: 128 bits make collisions between requests negligible. */
 const KEY_LENGTH = 32;
 
-/** What callers repeat when they try again; ids of attempts and deadlines are not among it. */
-export interface RepeatedParts {
+/** Parts of a request that a caller's retry repeats, unlike attempt ids and deadlines. */
+export interface RequestParts {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
@@ -16,16 +16,16 @@
   readonly body: Uint8Array | undefined;
 }
 
-/** Works out the key of a request when it is first asked for, and only then. */
+/** Computes the key of a request lazily, as few requests need it. */
 export class RequestIdentity {
-  readonly #parts: RepeatedParts;
+  readonly #parts: RequestParts;
   #key: RequestKey | undefined;
 
-  constructor(parts: RepeatedParts) {
+  constructor(parts: RequestParts) {
     this.#parts = parts;
   }
 
-  /** The same for all attempts at the request, at every VM. */
+  /** Key that is the same for all attempts at the request, on every VM. */
   get key(): RequestKey {
     this.#key ??= keyOf(this.#parts);
     return this.#key;
@@ -33,7 +33,7 @@
 }
 
 function keyOf(
-  { method, host, url, account, body }: RepeatedParts,
+  { method, host, url, account, body }: RequestParts,
 ): RequestKey {
   const head = JSON.stringify([method, host, url, account ?? null]);
   const parts = body === undefined ? [head] : [head, body];
--- a/src/gateway/request_identity_test.ts
+++ b/src/gateway/request_identity_test.ts
@@ -2,9 +2,9 @@
 import { Buffer } from "node:buffer";
 import { describe, it } from "node:test";
 import type { AccountId } from "../core/ids.ts";
-import { type RepeatedParts, RequestIdentity } from "./request_identity.ts";
+import { RequestIdentity, type RequestParts } from "./request_identity.ts";
 
-const PARTS: RepeatedParts = {
+const PARTS: RequestParts = {
   method: "POST",
   host: "shop.example",
   url: "/stock/1?a=1",
@@ -12,17 +12,17 @@
   body: Buffer.from("body"),
 };
 
-function keyOf(patch: Partial<RepeatedParts> = {}): string {
+function keyOf(patch: Partial<RequestParts> = {}): string {
   return new RequestIdentity({ ...PARTS, ...patch }).key;
 }
 
-describe("identity of a request", () => {
-  it("should be the same for the same parts", () => {
+describe("request identity", () => {
+  it("should be equal for equal parts", () => {
     assert.equal(keyOf(), keyOf({ body: Buffer.from("body") }));
   });
 
-  it("should differ by each part that callers repeat", () => {
-    const others = [
+  it("should differ if any part differs", () => {
+    const otherKeys = [
       keyOf({ method: "PUT" }),
       keyOf({ host: "other.example" }),
       keyOf({ url: "/stock/1?a=2" }),
@@ -31,6 +31,6 @@
       keyOf({ body: Buffer.from("other") }),
       keyOf({ body: undefined }),
     ];
-    assert.equal(new Set([keyOf(), ...others]).size, others.length + 1);
+    assert.equal(new Set([keyOf(), ...otherKeys]).size, otherKeys.length + 1);
   });
 });
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -1,4 +1,4 @@
-/** Log lines about requests: all that failed or were slow, and a sample of the others. */
+/** Logs requests: all that failed or needed several attempts, and a sample of the others. */
 
 import type { RetryBudgetState } from "../core/limits/retry_budget.ts";
 import type { Refusal } from "../core/refusal.ts";
@@ -10,22 +10,22 @@
 import { describeTry } from "./try_record.ts";
 
 const MS_PER_SECOND = 1_000;
-/** One in so many requests that went well is logged. */
-const SAMPLE = 50;
+/** One in this many requests that succeeded on the first attempt is logged. */
+const SUCCESS_SAMPLE_INTERVAL = 50;
 
-/** Outcomes of tries that leave open what became of the request. */
-const FAILED_TRIES: ReadonlySet<string> = new Set([
+/** Attempt outcomes that leave open whether the request ran to completion. */
+const FAILED_OUTCOMES: ReadonlySet<string> = new Set([
   "broken",
   "stream_broken",
   "given_up",
 ]);
 
-/** Writes one line for each request that an engineer may be asked about. */
+/** Writes a log line for each request worth investigating, and counts all requests in metrics. */
 export class RequestLog {
   readonly #logger: Logger;
   readonly #metrics: GatewayMetrics;
   readonly #routing: RoutingFollower;
-  #good = 0;
+  #successes = 0;
 
   constructor(
     { logger, gatewayMetrics, routingFollower }: {
@@ -39,8 +39,8 @@
     this.#routing = routingFollower;
   }
 
-  /** Notes a request that got no server's answer. */
-  refused(exchange: CallerExchange, refusal: Refusal): void {
+  /** Records a request that was refused without a response from a server. */
+  recordRefusal(exchange: CallerExchange, refusal: Refusal): void {
     this.#metrics.refusals.inc({ reason: refusal.tag });
     this.#logger.info("Request refused", {
       attempt: exchange.head.attempt,
@@ -51,13 +51,13 @@
     });
   }
 
-  /** Notes a stream that this VM ended before it was whole, and why. */
-  cut(
+  /** Records a stream that this VM cut before it was complete, and the reason. */
+  recordStreamCut(
     exchange: CallerExchange,
     { refusal, run }: { refusal: Refusal; run: RunSummary },
   ): void {
     this.#metrics.streamsCut.inc({ reason: refusal.tag });
-    this.#logger.info("Stream is cut", {
+    this.#logger.info("Stream cut before completion", {
       attempt: exchange.head.attempt,
       path: exchange.path,
       reason: refusal.tag,
@@ -69,18 +69,18 @@
     });
   }
 
-  /** Notes the end of a request. */
-  ended(exchange: CallerExchange, run: RunSummary): void {
+  /** Records the end of a request that was admitted. */
+  recordEnd(exchange: CallerExchange, run: RunSummary): void {
     const status = exchange.status ?? 0;
     this.#count(exchange, run);
-    const plain = status >= 200 && status < 300 && run.tries.length === 1 &&
+    const isRoutine = status >= 200 && status < 300 && run.tries.length === 1 &&
       exchange.state === "ended";
-    if (plain && this.#good++ % SAMPLE !== 0) return;
+    if (isRoutine && this.#successes++ % SUCCESS_SAMPLE_INTERVAL !== 0) return;
     this.#logger.info("Request ended", {
       attempt: exchange.head.attempt,
       path: exchange.path,
-      // Worked out only where a try failed: those are looked for at other VMs.
-      request: run.tries.some(({ outcome }) => FAILED_TRIES.has(outcome))
+      // Computed only if an attempt failed, as it hashes the body: matches log lines across VMs.
+      request: run.tries.some(({ outcome }) => FAILED_OUTCOMES.has(outcome))
         ? run.identity.key
         : undefined,
       service: run.service,
@@ -95,7 +95,9 @@
       status,
       state: exchange.state,
       age_ms: Math.round(exchange.ageMs()),
-      tries: run.tries.map((one) => describeTry(one, exchange.arrivedMs)).join(
+      tries: run.tries.map((attempt) =>
+        describeTry(attempt, exchange.arrivedMs)
+      ).join(
         "; ",
       ),
     });
@@ -112,9 +114,11 @@
 function describeRetryBudget(
   { left, earned, unread, allowance, held, requests, vms }: RetryBudgetState,
 ): string {
-  return `${left.toFixed(1)} left: ${earned.toFixed(1)} earned, ` +
-    `${allowance.toFixed(1)} of the allowance among ${vms ?? "unknown"} VMs, ` +
-    `${held} held, ${unread.toFixed(1)} unread, ${requests} requests`;
+  return `${left.toFixed(1)} available: ${earned.toFixed(1)} earned, ` +
+    `${allowance.toFixed(1)} of the allowance shared by ${
+      vms ?? "unknown"
+    } VMs, ` +
+    `${held} held, ${unread.toFixed(1)} unacknowledged, ${requests} requests`;
 }
 
 function outcomeOf(exchange: CallerExchange): string {
@@ -133,11 +137,11 @@
     case "unconfirmed_keys":
       return `confirmed ${Math.round(refusal.ageMs)} ms ago`;
     case "crashes_servers":
-      return `${refusal.crashes} servers ended, kept back for ${
+      return `${refusal.crashes} servers crashed, quarantined for ${
         Math.round(refusal.leftMs)
-      } ms more`;
+      } more ms`;
     case "servers_full":
-      return `${refusal.asked} servers asked`;
+      return `${refusal.asked} servers tried`;
     default:
       return undefined;
   }
--- a/src/gateway/request_server.ts
+++ b/src/gateway/request_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for callers' requests on declared routes. */
+/** HTTP server for requests of callers to the configured routes. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import fastify, { type FastifyInstance } from "fastify";
@@ -13,24 +13,24 @@
 import { RequestRun, type RequestRunDeps } from "./request_run.ts";
 import type { StopState } from "./stop_state.ts";
 
-/** Until a configuration says otherwise; the users' example has these. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits until the first configuration is applied; the same as in the users' example. */
+const INITIAL_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
-/** Headers are read up to this size, whatever the configuration says later. */
-const PARSER_HEADER_BYTES = 65_536;
+/** Upper limit of the HTTP parser, which is fixed at start and independent of the configuration. */
+const MAX_PARSED_HEADER_BYTES = 65_536;
 /**
- * Idle connections are kept somewhat longer than callers are told, so that a request
- * does not cross our close.
+ * Idle connections stay open longer than the keep-alive timeout advertised to callers, so that no
+ * request is sent while this VM closes the connection.
  */
-const IDLE_SLACK_MS = 2_000;
-/** Time between looks for silent servers; a part of the shortest patience with them. */
-const LOOK_MS = 100;
-/** Time between looks for callers that are too slow. */
-const TIMEOUT_CHECK_MS = 500;
+const KEEP_ALIVE_SLACK_MS = 2_000;
+/** Interval of checks for unresponsive servers; a fraction of the shortest stall timeout. */
+const STALL_CHECK_INTERVAL_MS = 100;
+/** Interval of checks for callers that send too slowly. */
+const SLOW_CALLER_CHECK_INTERVAL_MS = 500;
 
 interface Deps extends RequestRunDeps {
   readonly requestAdmission: RequestAdmission;
@@ -40,28 +40,28 @@
   readonly logger: Logger;
 }
 
-/** Takes requests and runs them. */
+/** Accepts, admits and runs requests. */
 export class RequestServer {
   readonly #deps: Deps;
   readonly #http: FastifyInstance;
-  #limits = FIRST_LIMITS;
+  #limits = INITIAL_LIMITS;
   readonly #runs = new Set<RequestRun>();
-  readonly #looks = new RepeatedTask({
-    intervalMs: LOOK_MS,
-    run: () => this.#look(),
+  readonly #stallChecks = new RepeatedTask({
+    intervalMs: STALL_CHECK_INTERVAL_MS,
+    run: () => this.#checkRuns(),
   });
   #inFlight = 0;
 
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#http = fastify({
-      // Paths go on unchanged, also those that a router would not take.
+      // Paths are forwarded unchanged, even those that Fastify's router would reject.
       rewriteUrl: () => "/",
       return503OnClosing: false,
       forceCloseConnections: "idle",
       http: {
-        maxHeaderSize: PARSER_HEADER_BYTES,
-        connectionsCheckingInterval: TIMEOUT_CHECK_MS,
+        maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+        connectionsCheckingInterval: SLOW_CALLER_CHECK_INTERVAL_MS,
       },
     });
     this.#http.removeAllContentTypeParsers();
@@ -70,35 +70,35 @@
       reply.hijack();
       void this.#handle(req.raw, { res: reply.raw, url: req.originalUrl });
     });
-    this.setLimits(FIRST_LIMITS);
+    this.setLimits(INITIAL_LIMITS);
   }
 
-  /** Requests that have no whole answer yet. */
+  /** Number of requests that have no complete response yet. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Starts to listen; returns the address in use. */
+  /** Starts listening; returns the bound address. */
   listen(address: string): Promise<string> {
     return listenHttp(this.#http, address);
   }
 
-  /** Applies the limits of a configuration. */
+  /** Applies the caller limits of a configuration. */
   setLimits(limits: CallerLimits): void {
     this.#limits = limits;
     const { server } = this.#http;
     server.headersTimeout = limits.headerTimeoutMs;
     server.requestTimeout = 0;
-    server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
+    server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_SLACK_MS;
   }
 
-  /** Stops to listen and closes what is idle. */
+  /** Stops listening and closes idle connections. */
   async close(): Promise<void> {
-    this.#looks.stop();
+    this.#stallChecks.stop();
     await this.#http.close();
   }
 
-  #look(): Promise<void> {
+  #checkRuns(): Promise<void> {
     const nowMs = this.#deps.clock.monotonicMs();
     for (const run of this.#runs) run.check(nowMs);
     return Promise.resolve();
@@ -115,7 +115,7 @@
     try {
       await this.#serve(exchange);
     } catch (err) {
-      logger.warn("Request failed inside", {
+      logger.warn("Request failed with an internal error", {
         attempt: exchange.head.attempt,
         error: (err as Error).stack,
       });
@@ -137,7 +137,7 @@
     if (err !== undefined || !body.ok || !admitted.ok) {
       if (err === undefined) return;
       exchange.refuse(err);
-      requestLog.refused(exchange, err);
+      requestLog.recordRefusal(exchange, err);
       return;
     }
     const run = new RequestRun(this.#deps, {
@@ -146,13 +146,13 @@
       body: body.value,
     });
     this.#runs.add(run);
-    this.#looks.start();
+    this.#stallChecks.start();
     try {
       await run.run();
     } finally {
       this.#runs.delete(run);
-      if (this.#runs.size === 0) this.#looks.stop();
+      if (this.#runs.size === 0) this.#stallChecks.stop();
     }
-    requestLog.ended(exchange, run.summary());
+    requestLog.recordEnd(exchange, run.summary());
   }
 }
--- a/src/gateway/run_summary.ts
+++ b/src/gateway/run_summary.ts
@@ -1,25 +1,25 @@
-/** What decided a request, for the log. */
+/** Summary of a request for the log. */
 
 import type { AccountId, RouteId, ServiceId } from "../core/ids.ts";
 import type { RetryBudgetState } from "../core/limits/retry_budget.ts";
 import type { RequestIdentity } from "./request_identity.ts";
 import type { TryRecord } from "./try_record.ts";
 
-/** Inputs and tries of one request. */
+/** Inputs to the routing decisions for one request, and its attempts. */
 export interface RunSummary {
   readonly service: ServiceId;
   readonly route: RouteId;
-  /** What all attempts at the request have in common. */
+  /** Identity shared by all attempts of the caller at the same request. */
   readonly identity: RequestIdentity;
-  /** Undefined where the route needs no key. */
+  /** Undefined if the route requires no key. */
   readonly account: AccountId | undefined;
-  /** Version of the configuration by which the request was admitted. */
+  /** Version of the configuration under which the request was admitted. */
   readonly configurationVersion: number;
-  /** Time since that configuration was confirmed as the newest, in milliseconds. */
+  /** Time since that configuration was last confirmed as the newest. */
   readonly confirmedAgeMs: number;
-  /** Time within which the request had to end, in milliseconds. */
+  /** Time limit of the request. */
   readonly limitMs: number;
-  /** What the retry budget of the service stood at. */
+  /** State of the retry budget of the service. */
   readonly retryBudget: RetryBudgetState;
   readonly tries: readonly TryRecord[];
 }
--- a/src/gateway/run_tally.ts
+++ b/src/gateway/run_tally.ts
@@ -1,104 +1,107 @@
-/** Counts what the tries of one request came to, and what may follow from it. */
+/** Counts the outcomes of one request's attempts, and decides whether further ones may follow. */
 
 import type { Refusal } from "../core/refusal.ts";
 import { mayRunAgain, type Route } from "../core/routes/route.ts";
 
-/** Servers asked for one request while each says that it did not run it. */
-const MAX_REFUSALS = 3;
+/** Servers tried per run of a request while each replies that it did not process it. */
+const MAX_REFUSALS_PER_RUN = 3;
 /**
- * Times that a request which has lost a run waits for a place: with the pause between them
- * two seconds. A caller cut off by this VM alone can then still go on at another one.
+ * Times that a request which lost a run waits for an available server: two seconds in total at
+ * `WAIT_INTERVAL_MS`. If only this VM cannot reach the servers, its caller still has time to retry
+ * through another VM.
  */
 const MAX_WAITS = 8;
 /**
- * Time that a request spends on servers that cannot be reached, in milliseconds. Where they are
- * silent, the fault may be this VM's, and its caller gets through at another one.
+ * Maximum time that a request spends on unreachable servers. If connections time out, the fault
+ * may lie with this VM, and the caller can get through via another one.
  */
-const LONGEST_SEARCH_MS = 1_000;
-/** Pause before a request that waits for a place asks for one again, in milliseconds. */
-const PLACE_PAUSE_MS = 250;
+const MAX_UNREACHABLE_SEARCH_MS = 1_000;
+/** Maximum time between two checks for an available server by a waiting request. */
+const WAIT_INTERVAL_MS = 250;
 
-/** What has become of the tries so far. */
+/** Outcomes of the attempts so far. */
 export class RunTally {
   #runs = 0;
   #refusals = 0;
   #unsent = 0;
-  #unsentMs = 0;
+  #unsentTimeMs = 0;
   #waits = 0;
   #mayHaveRun = false;
 
-  /** Servers on which the request has run, or may have. */
+  /** Number of times the request has run on a server, or may have. */
   get runs(): number {
     return this.#runs;
   }
 
-  /** Notes that a server has run the request, or may have. */
+  /** Records that a server ran the request, or may have. */
   recordRun(): void {
     this.#runs += 1;
     this.#mayHaveRun = true;
-    this.#forgetRefusals();
+    this.#resetRefusals();
   }
 
   /**
-   * How long a request that has lost a run waits before it asks for a place again, in
-   * milliseconds; undefined where it ends. It waits for as long as its servers say that they take
-   * nothing, if it has the time: its caller has waited for the run, and could only begin anew.
-   * Where nothing tells when one takes it, it waits for a while if it is `owed` its end.
+   * Milliseconds until a request without an available server should check again; undefined if it
+   * should be refused. A request that lost a run, or that `mustComplete`, waits until a server
+   * becomes available if that is within its deadline: otherwise its caller, who already waited for
+   * the run, would have to start over. If that time is unknown or too late, it waits only if it
+   * `mustComplete`, and at most `MAX_WAITS` times.
    */
-  nextWaitMs({ opensInMs, leftMs, owed }: {
+  nextWaitMs({ opensInMs, leftMs, mustComplete }: {
     opensInMs: number | undefined;
     leftMs: number;
-    owed: boolean;
+    mustComplete: boolean;
   }): number | undefined {
-    if (!owed && this.#runs === 0) return undefined;
+    if (!mustComplete && this.#runs === 0) return undefined;
     if (opensInMs !== undefined && opensInMs < leftMs) {
-      return Math.min(PLACE_PAUSE_MS, opensInMs);
+      return Math.min(WAIT_INTERVAL_MS, opensInMs);
     }
-    return owed && this.recordWait() ? PLACE_PAUSE_MS : undefined;
+    return mustComplete && this.recordWait() ? WAIT_INTERVAL_MS : undefined;
   }
 
-  /** Notes that no server takes the request now; returns whether to ask again later. */
+  /** Records that no server is available; returns whether to check again later. */
   recordWait(): boolean {
     this.#waits += 1;
-    this.#forgetRefusals();
+    this.#resetRefusals();
     return this.#waits <= MAX_WAITS;
   }
 
-  /** Notes that a try is under way whose end will not be known. */
+  /** Records that an attempt was abandoned in flight, so its outcome stays unknown. */
   recordAbandonedRun(): void {
     this.#mayHaveRun = true;
   }
 
-  /** Notes a server that did not run the request; returns whether to ask another. */
+  /** Records a server that did not run the request; returns whether to try another. */
   recordRefusal(): boolean {
     this.#refusals += 1;
-    return this.#refusals < this.#mostRefusals;
+    return this.#refusals < this.#maxRefusals;
   }
 
   /**
-   * Notes a try that was not sent and took so long; returns whether to make another. Lists lag
-   * behind crashes of many servers, and those that are there must be found: while servers are
-   * left that pass for sound, time bounds the search, not their number.
+   * Records an attempt that could not be sent, and its duration; returns whether to try another
+   * server. After many servers crash, the server list still names them for a while, and the live
+   * ones must be found. So while a server is left that counts as healthy, the search is limited by
+   * time rather than by the number of servers.
    */
   recordUnsent(
     { tookMs, hasSound }: { tookMs: number; hasSound: boolean },
   ): boolean {
     this.#unsent += 1;
-    this.#unsentMs += tookMs;
-    return this.#unsent <= this.#mostRefusals ||
-      (hasSound && this.#unsentMs < LONGEST_SEARCH_MS);
+    this.#unsentTimeMs += tookMs;
+    return this.#unsent <= this.#maxRefusals ||
+      (hasSound && this.#unsentTimeMs < MAX_UNREACHABLE_SEARCH_MS);
   }
 
-  /** Whether the route allows a further run, besides those under way. */
-  mayRetry(route: Route, underWay = 0): boolean {
-    return mayRunAgain(route) && this.#runs + underWay < route.maxRuns;
+  /** Whether the route allows a further run in addition to those in flight. */
+  mayRetry(route: Route, inFlight = 0): boolean {
+    return mayRunAgain(route) && this.#runs + inFlight < route.maxRuns;
   }
 
-  /** Why the request ends where no server takes it. */
+  /** Refusal for a request that no server accepts. */
   noServerRefusal(
-    { reason = "no further server takes it", opensInMs }: {
+    { reason = "no other server accepts the request", opensInMs }: {
       reason?: string;
-      /** Milliseconds until one of its servers takes requests, if all rest or are cold. */
+      /** Milliseconds until a server accepts requests, if all are backing off, cold or full. */
       opensInMs?: number;
     } = {},
   ): Refusal {
@@ -108,7 +111,7 @@
     return { tag: "no_server", opensInMs };
   }
 
-  /** Why the request ends that crashes the servers that run it. */
+  /** Refusal for a request that crashes the servers that run it. */
   crashRefusal(
     { crashes, leftMs }: { crashes: number; leftMs: number },
   ): Refusal {
@@ -117,20 +120,20 @@
     return { tag: "answer_lost", reason };
   }
 
-  /** Why the request ends where its time is up. */
+  /** Refusal for a request that exceeded its deadline. */
   timeoutRefusal(): Refusal {
     return this.#mayHaveRun ? { tag: "expired" } : { tag: "expired_unsent" };
   }
 
-  /** After a wait one server is asked at a time, as each refusal costs a retry. */
-  get #mostRefusals(): number {
-    return this.#waits > 0 ? 1 : MAX_REFUSALS;
+  /** After a wait only one server is tried at a time, as each refusal uses up a retry. */
+  get #maxRefusals(): number {
+    return this.#waits > 0 ? 1 : MAX_REFUSALS_PER_RUN;
   }
 
-  /** Refusals count anew for each run: a run that breaks off says nothing of other servers. */
-  #forgetRefusals(): void {
+  /** Refusals are counted per run and wait, as a broken run says nothing about other servers. */
+  #resetRefusals(): void {
     this.#refusals = 0;
     this.#unsent = 0;
-    this.#unsentMs = 0;
+    this.#unsentTimeMs = 0;
   }
 }
--- a/src/gateway/run_tally_test.ts
+++ b/src/gateway/run_tally_test.ts
@@ -6,8 +6,8 @@
 const REPEATABLE = { kind: "repeatable", maxRuns: 2 } as Route;
 const ONCE = { kind: "once", maxRuns: 3 } as Route;
 
-describe("tally of runs", () => {
-  it("should say that nothing has run only while nothing may have", () => {
+describe("run tally", () => {
+  it("should report that nothing ran only while nothing may have run", () => {
     const tally = new RunTally();
     assert.equal(tally.noServerRefusal().tag, "no_server");
     tally.recordRefusal();
@@ -18,7 +18,7 @@
     assert.equal(tally.timeoutRefusal().tag, "expired");
   });
 
-  it("should count the run under way against those that the route allows", () => {
+  it("should count the run in flight towards the runs that the route allows", () => {
     const tally = new RunTally();
     assert.equal(tally.mayRetry(REPEATABLE, 1), true);
     tally.recordRun();
@@ -28,19 +28,19 @@
     assert.equal(tally.mayRetry(REPEATABLE), false);
   });
 
-  it("should never repeat what may run only once", () => {
+  it("should never retry a request that may run only once", () => {
     assert.equal(new RunTally().mayRetry(ONCE), false);
   });
 
-  it("should stop asking servers after a few that did not run it", () => {
+  it("should stop after three servers did not run the request", () => {
     const tally = new RunTally();
     const asked = [1, 2, 3, 4, 5].filter(() => tally.recordRefusal()).length +
       1;
     assert.equal(asked, 3);
   });
 
-  it("should look for long past servers that are gone, but not past silent ones", () => {
-    // A VM that is cut off from its servers tells its callers in time to go on at another one.
+  it("should try more servers if they refuse connections than if connections time out", () => {
+    // A VM that is cut off from its servers refuses requests in time for a retry at another VM.
     const cases: [number, boolean, number][] = [
       [1, true, 100],
       [1, false, 3],
@@ -48,15 +48,13 @@
     ];
     for (const [tookMs, hasSound, asked] of cases) {
       const tally = new RunTally();
-      let further = 0;
-      while (further < 100 && tally.recordUnsent({ tookMs, hasSound })) {
-        further += 1;
-      }
-      assert.equal(further, asked);
+      let n = 0;
+      while (n < 100 && tally.recordUnsent({ tookMs, hasSound })) n += 1;
+      assert.equal(n, asked);
     }
   });
 
-  it("should ask one server a round once it has waited, and not wait without end", () => {
+  it("should try one server per round after a wait, and limit the number of waits", () => {
     const tally = new RunTally();
     tally.recordRun();
     assert.equal(tally.recordRefusal(), true);
@@ -67,7 +65,7 @@
     assert.equal(waits, 8);
   });
 
-  it("should count refusals anew for each run", () => {
+  it("should reset the refusal count after each run", () => {
     const tally = new RunTally();
     tally.recordRefusal();
     tally.recordRefusal();
@@ -75,35 +73,42 @@
     assert.equal(tally.recordRefusal(), true);
   });
 
-  it("should wait for the end of a rest that comes in time, however long", () => {
+  it("should wait for a backoff that ends before the deadline, however long", () => {
     const tally = new RunTally();
     for (let opensInMs = 3_000; opensInMs > 0; opensInMs -= 250) {
       assert.equal(
-        tally.nextWaitMs({ opensInMs, leftMs: 4_000, owed: true }),
+        tally.nextWaitMs({ opensInMs, leftMs: 4_000, mustComplete: true }),
         250,
       );
     }
     assert.equal(
-      tally.nextWaitMs({ opensInMs: 40, leftMs: 1_000, owed: true }),
+      tally.nextWaitMs({ opensInMs: 40, leftMs: 1_000, mustComplete: true }),
       40,
     );
-    // What comes too late is waited for no longer than what nobody knows of.
-    const late = { opensInMs: 3_000, leftMs: 2_000, owed: true };
+    // A backoff that ends too late gets no more waits than one of unknown length.
+    const tooLate = { opensInMs: 3_000, leftMs: 2_000, mustComplete: true };
     let waits = 0;
-    while (tally.nextWaitMs(late) !== undefined) waits += 1;
+    while (tally.nextWaitMs(tooLate) !== undefined) waits += 1;
     assert.equal(waits, 8);
   });
 
-  it("should wait for a lost run only as long as its servers tell, where none is owed", () => {
+  it("should wait after a lost run only for a known time unless it must complete", () => {
     const tally = new RunTally();
-    const soon = { opensInMs: 300, leftMs: 2_000, owed: false };
-    assert.equal(tally.nextWaitMs(soon), undefined);
+    const availableSoon = {
+      opensInMs: 300,
+      leftMs: 2_000,
+      mustComplete: false,
+    };
+    assert.equal(tally.nextWaitMs(availableSoon), undefined);
     tally.recordRun();
-    assert.equal(tally.nextWaitMs(soon), 250);
+    assert.equal(tally.nextWaitMs(availableSoon), 250);
     assert.equal(
-      tally.nextWaitMs({ ...soon, opensInMs: undefined }),
+      tally.nextWaitMs({ ...availableSoon, opensInMs: undefined }),
+      undefined,
+    );
+    assert.equal(
+      tally.nextWaitMs({ ...availableSoon, leftMs: 200 }),
       undefined,
     );
-    assert.equal(tally.nextWaitMs({ ...soon, leftMs: 200 }), undefined);
   });
 });
--- a/src/gateway/server_admission.ts
+++ b/src/gateway/server_admission.ts
@@ -1,4 +1,4 @@
-/** The one gate that every request passes on its way to a backend server. */
+/** Admission control that applies to every request sent to a backend server. */
 
 import type { ServiceId } from "../core/ids.ts";
 import type {
@@ -24,9 +24,10 @@
 }
 
 /**
- * Joins what keeps requests from servers whatever else speaks for them: that they leave, rest,
- * are cold or evacuated, or take only so much from all VMs together. Unlike the avoidance of
- * servers that have failed, there is no way past it where no other server is left.
+ * Combines the conditions under which a server must not receive a request: it is draining,
+ * evacuated, in a backoff period that it requested, over its slow-start limit, or at its rate limit
+ * across all VMs. Unlike the ejection of failed servers, these conditions hold even if no other
+ * server is left.
  */
 export class ServerAdmission {
   readonly #deps: Deps;
@@ -35,7 +36,7 @@
     this.#deps = deps;
   }
 
-  /** Servers of a service that bear a request of this VM now, as far as they are cold. */
+  /** Servers whose slow-start limit admits a request from this VM now; warm servers always do. */
   filterBySlowStart(
     service: ServiceId,
     servers: readonly ServerRecord[],
@@ -43,26 +44,26 @@
     return this.#deps.coldServerGuard.bearing(service, servers);
   }
 
-  /** Servers that take a request of this VM now: they do not rest, and their limit has room. */
+  /** Servers that accept a request from this VM now: not in backoff, and within their rate limit. */
   filterAvailable(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverRests, serverLimits } = this.#deps;
     if (serverRests.isEmpty && serverLimits.isEmpty) return servers;
     return servers.filter((server) =>
-      this.#isRested(server) && this.#hasRoom(server)
+      this.#isOutOfBackoff(server) && this.#hasPermit(server)
     );
   }
 
-  /** Servers that would take a request of this VM if another VM lent it a place. */
+  /** Servers for which this VM lacks only a rate-limit permit, which another VM could grant. */
   filterWithoutPermit(
     servers: readonly ServerRecord[],
   ): readonly ServerRecord[] {
     if (this.#deps.serverLimits.isEmpty) return [];
     return servers.filter((server) =>
-      this.#isRested(server) && !this.#hasRoom(server)
+      this.#isOutOfBackoff(server) && !this.#hasPermit(server)
     );
   }
 
-  /** Servers of these that take only so many requests, as they say. */
+  /** Those of the given servers that advertise a rate limit. */
   filterRateLimited(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverLimits } = this.#deps;
     if (serverLimits.isEmpty) return [];
@@ -70,8 +71,9 @@
   }
 
   /**
-   * From when a server may be asked whether it still answers; undefined where it always might.
-   * Questions are requests to a server that rests or counts them.
+   * Earliest time at which a server may be probed; undefined if there was never a restriction.
+   * Probes count as requests, so a rate-limited server is never probed, and one that backs off
+   * only after its backoff period.
    */
   askableMs(server: ServerRecord): number | undefined {
     const { serverLimits, serverRests } = this.#deps;
@@ -81,35 +83,38 @@
     return times.length === 0 ? undefined : Math.max(...times);
   }
 
-  /** Whether a request that was chosen for a server may still be sent: asked at its first byte. */
-  maySend(server: ServerRecord, place: SendPlace): boolean {
+  /** Whether a request may still be sent to its server; checked right before its first byte. */
+  maySend(server: ServerRecord, permit: SendPlace): boolean {
     const { serverDirectory, serverRests, clock } = this.#deps;
     return serverDirectory.isUsable(server.instance) &&
-      serverRests.leftMs(server, clock.monotonicMs()) === 0 && place.take();
+      serverRests.leftMs(server, clock.monotonicMs()) === 0 && permit.take();
   }
 
-  /** Counts a request that is about to be sent; returns its place among those of all VMs. */
+  /** Counts a request that is about to be sent, and reserves a rate-limit permit for it. */
   reserve(server: ServerRecord): SendPlace {
     const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
       this.#deps;
     coldServerGuard.sending(server);
     if (serverRests.sending(server, clock.monotonicMs())) {
-      logger.info("Server is used again after its rest", {
-        server: lifeOf(server),
-        service: server.service,
-      });
+      logger.info(
+        "Sending first request to server after its requested backoff period",
+        {
+          server: lifeOf(server),
+          service: server.service,
+        },
+      );
     }
     return limitAdmission.reserve(server);
   }
 
-  /** Notes that a server has taken a request that was sent at such a time. */
+  /** Records that a server accepted a request sent at `sentMs`, which may end its backoff. */
   recordAccepted(server: ServerRecord, sentMs: number): void {
     this.#deps.serverRests.took(server, sentMs);
   }
 
   /**
-   * Milliseconds until the first of these servers rests no longer, is warm and has room; undefined
-   * where one takes requests now, or where there are none.
+   * Milliseconds until one of the servers is out of backoff, warm and within its rate limit;
+   * undefined if one accepts requests now, or if there are no servers.
    */
   opensInMs(servers: readonly ServerRecord[]): number | undefined {
     const { serverRests, coldServerGuard, limitAdmission, clock } = this.#deps;
@@ -121,17 +126,17 @@
         limitAdmission.opensInMs(server),
       )
     );
-    const firstMs = Math.min(...waitsMs);
-    return firstMs > 0 && firstMs < Infinity ? firstMs : undefined;
+    const earliestMs = Math.min(...waitsMs);
+    return earliestMs > 0 && earliestMs < Infinity ? earliestMs : undefined;
   }
 
-  #isRested(server: ServerRecord): boolean {
+  #isOutOfBackoff(server: ServerRecord): boolean {
     const { serverRests, clock } = this.#deps;
     return serverRests.isEmpty ||
       serverRests.opensInMs(server, clock.monotonicMs()) === 0;
   }
 
-  #hasRoom(server: ServerRecord): boolean {
+  #hasPermit(server: ServerRecord): boolean {
     const { serverLimits, limitAdmission } = this.#deps;
     return serverLimits.isEmpty || limitAdmission.isOpen(server);
   }
--- a/src/gateway/suspect_placement.ts
+++ b/src/gateway/suspect_placement.ts
@@ -1,30 +1,30 @@
-/** Where suspected requests of this VM run. */
+/** Tracks the servers on which this VM runs requests suspected of crashing servers. */
 
 import type { InstanceId } from "../core/ids.ts";
 
 /**
- * Keeps suspected requests from each other. Requests that lost their server together share a
- * prompt more often than not, and would go on at one other server together: the culprit ends
- * that one too, and the next, after which an innocent stream has no run left. Apart, each
- * further crash meets the culprit and nobody who was beside it before.
+ * Keeps suspected requests on separate servers. Requests that lost the same server usually share
+ * a prompt, so affinity would retry them together on one other server. The one that crashes
+ * servers would then break the runs of the innocent ones too, until these have no run left. On
+ * separate servers, a further crash affects none of the other suspects.
  */
 export class SuspectPlacement {
   readonly #counts = new Map<InstanceId, number>();
 
-  /** Servers at which suspected requests run. */
+  /** Servers on which suspected requests run. */
   get occupiedServers(): ReadonlySet<InstanceId> {
     return new Set(this.#counts.keys());
   }
 
-  /** Notes that a suspected request is sent to a server. */
+  /** Records that a suspected request is being sent to a server. */
   add(instance: InstanceId): void {
     this.#counts.set(instance, (this.#counts.get(instance) ?? 0) + 1);
   }
 
-  /** Notes that it no longer runs there. */
+  /** Records that a suspected request no longer runs on a server. */
   remove(instance: InstanceId): void {
-    const left = (this.#counts.get(instance) ?? 0) - 1;
-    if (left > 0) this.#counts.set(instance, left);
+    const remaining = (this.#counts.get(instance) ?? 0) - 1;
+    if (remaining > 0) this.#counts.set(instance, remaining);
     else this.#counts.delete(instance);
   }
 }
--- a/src/gateway/work_predictor.ts
+++ b/src/gateway/work_predictor.ts
@@ -1,36 +1,36 @@
-/** Predicts how long a request keeps a server busy. */
+/** Predicts how much server time a request takes. */
 
 import type { ModelId } from "../core/ids.ts";
 import type { EngineProfile, Service } from "../core/routes/route.ts";
 import type { ReadPace } from "../core/servers/read_pace.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 
-/** Prompt tokens that a model server reads in a millisecond, before any was watched. */
-const PROMPT_TOKENS_PER_MS = 20;
-/** Generated tokens are made for many requests at once; share of each in milliseconds. */
-const MS_PER_OUTPUT_TOKEN = 0.3;
-/** Work of a request to a plain service; only compared with others of its kind. */
-const PLAIN_WORK_MS = 20;
-/** Small models are not faster than this part of the dearest one's time. */
-const LEAST_PACE = 0.1;
+/** Assumed prefill speed of a model server until its speed has been observed. */
+const DEFAULT_PREFILL_TOKENS_PER_MS = 20;
+/** Decode time per output token and request; tokens are generated for many requests in a batch. */
+const DECODE_MS_PER_OUTPUT_TOKEN = 0.3;
+/** Work per request to a service without models; compared only with requests of the same kind. */
+const PLAIN_SERVICE_WORK_MS = 20;
+/** Lower bound for the time of a small model, relative to the most expensive one. */
+const MIN_RELATIVE_TIME = 0.1;
 
-/** Predicted parts of a request's work, in milliseconds of a server. */
+/** Predicted server time of a request, by phase. */
 export interface PredictedWork {
-  /** Until the first token: reading what is new of the prompt. */
+  /** Time to the first token: prefill of the prompt tokens that no other request shares. */
   readonly prefillMs: number;
-  /** After the first token. */
+  /** Time after the first token. */
   readonly decodeMs: number;
-  /** What reading the shared parts costs a server that does not hold them. */
+  /** Additional prefill of the shared prompt parts, on a server that does not have them cached. */
   readonly sharedPrefillMs: number;
 }
 
-/** What a request is sent for. */
+/** Service and model that a request is sent to. */
 export interface WorkTarget {
   readonly service: Service | undefined;
   readonly model: ModelId | undefined;
 }
 
-/** Prompt tokens that no other request shares. */
+/** Number of prompt tokens that no other request shares. */
 export function unsharedPromptTokens(
   { promptParts, promptTokens }: CallerHead,
 ): number {
@@ -39,7 +39,7 @@
   return Math.max(0, promptTokens - shared);
 }
 
-/** Predicts the work of requests by the pace that was learnt. */
+/** Predicts the work of requests from the observed prefill speed. */
 export class WorkPredictor {
   readonly #readPace: ReadPace;
 
@@ -47,35 +47,39 @@
     this.#readPace = readPace;
   }
 
-  /** Predicts the work of a request with one model. */
+  /** Predicts the work of a request for one service and model. */
   predict(head: CallerHead, { service, model }: WorkTarget): PredictedWork {
     const engine = service?.engine;
     if (service === undefined || engine === undefined) {
-      return { prefillMs: PLAIN_WORK_MS, decodeMs: 0, sharedPrefillMs: 0 };
+      return {
+        prefillMs: PLAIN_SERVICE_WORK_MS,
+        decodeMs: 0,
+        sharedPrefillMs: 0,
+      };
     }
-    const own = unsharedPromptTokens(head);
-    const shared = Math.max(0, head.promptTokens - own);
-    const size = relativeSize(engine, model);
-    const learnt = model === undefined
+    const unshared = unsharedPromptTokens(head);
+    const shared = Math.max(0, head.promptTokens - unshared);
+    const timeFactor = relativeTime(engine, model);
+    const observed = model === undefined
       ? undefined
       : this.#readPace.msPerToken(service.id, model);
-    const msPerToken = learnt ?? size / PROMPT_TOKENS_PER_MS;
+    const msPerToken = observed ?? timeFactor / DEFAULT_PREFILL_TOKENS_PER_MS;
     return {
-      prefillMs: 1 + msPerToken * own,
-      decodeMs: size * head.outputTokens * MS_PER_OUTPUT_TOKEN,
+      prefillMs: 1 + msPerToken * unshared,
+      decodeMs: timeFactor * head.outputTokens * DECODE_MS_PER_OUTPUT_TOKEN,
       sharedPrefillMs: msPerToken * shared,
     };
   }
 }
 
-/** Dearer models are slower, roughly in proportion; the dearest has 1. */
-function relativeSize(
+/** Time of a model relative to the most expensive one; time grows roughly in proportion to cost. */
+function relativeTime(
   engine: EngineProfile,
   model: ModelId | undefined,
 ): number {
   const costs = engine.models.map(({ costPer1kTokens }) => costPer1kTokens);
-  const most = Math.max(...costs);
+  const highestCost = Math.max(...costs);
   const cost = engine.models.find(({ id }) => id === model)?.costPer1kTokens;
-  if (cost === undefined || most <= 0) return 1;
-  return Math.max(LEAST_PACE, cost / most);
+  if (cost === undefined || highestCost <= 0) return 1;
+  return Math.max(MIN_RELATIVE_TIME, cost / highestCost);
 }
--- a/src/gateway/work_predictor_test.ts
+++ b/src/gateway/work_predictor_test.ts
@@ -21,7 +21,7 @@
     ],
   },
 };
-/** 6,000 tokens that others share and 2,000 of its own. */
+/** 6,000 tokens shared with other requests and 2,000 unshared ones. */
 const HEAD = decodeCallerHead({
   "fieldrack-token-usage": "8000,100",
   "fieldrack-prefix-hash": "aa:4000,bb:2000,cc:2000",
@@ -40,19 +40,19 @@
   readPace = new ReadPace();
 });
 
-describe("prediction of work", () => {
-  it("should tell own parts of a prompt from shared ones", () => {
-    const { prefillMs: readMs, sharedPrefillMs: sharedMs } = predict(LARGE);
-    assert.equal(Math.round(sharedMs / (readMs - 1)), 3);
+describe("work predictor", () => {
+  it("should distinguish shared and unshared prompt tokens", () => {
+    const { prefillMs, sharedPrefillMs } = predict(LARGE);
+    assert.equal(Math.round(sharedPrefillMs / (prefillMs - 1)), 3);
   });
 
-  it("should expect dearer models to be slower before any was watched", () => {
+  it("should assume that more expensive models are slower until speeds are observed", () => {
     assert.ok(
       predict(LARGE).sharedPrefillMs >= 5 * predict(SMALL).sharedPrefillMs,
     );
   });
 
-  it("should go by the pace that was learnt", () => {
+  it("should use the observed prefill speed", () => {
     for (let n = 0; n < 40; n++) {
       readPace.observe({
         service: SERVICE.id,
@@ -64,7 +64,7 @@
     assert.equal(Math.round(predict(LARGE).sharedPrefillMs), 480);
   });
 
-  it("should take requests to plain services as alike", () => {
+  it("should predict no shared prefill for a service without models", () => {
     const predictor = new WorkPredictor({ readPace });
     const plain = { ...SERVICE, engine: undefined };
     const work = predictor.predict(HEAD, { service: plain, model: undefined });
