--- a/src/backends/server_probe_test.ts
+++ b/src/backends/server_probe_test.ts
@@ -17,7 +17,7 @@
   targetMs: undefined,
   expectedMs: 10_000,
   byteMs: undefined,
-  askableMs: undefined,
+  earliestProbeMs: undefined,
 };
 const unheard = () => {};
 
--- a/src/core/servers/silence.ts
+++ b/src/core/servers/silence.ts
@@ -45,7 +45,7 @@
    * From when the server may be asked whether it still answers, as one that rests may not;
    * undefined where it always might. Nothing is made of its silence before.
    */
-  readonly askableMs: number | undefined;
+  readonly earliestProbeMs: number | undefined;
 }
 
 /** Why a try is given up. */
@@ -107,11 +107,11 @@
   }
 
   #quietMs(
-    { instance, sentMs, byteMs, askableMs = 0 }: WaitingTry,
+    { instance, sentMs, byteMs, earliestProbeMs = 0 }: WaitingTry,
     nowMs: number,
   ): number {
     const spokeMs = this.#spokeMs.get(instance) ?? 0;
-    return nowMs - Math.max(spokeMs, byteMs ?? sentMs, askableMs);
+    return nowMs - Math.max(spokeMs, byteMs ?? sentMs, earliestProbeMs);
   }
 
   #patienceMs({ kind, targetMs = 0, expectedMs }: WaitingTry): number {
--- a/src/core/servers/silence_test.ts
+++ b/src/core/servers/silence_test.ts
@@ -11,7 +11,7 @@
   targetMs: 200,
   expectedMs: 0,
   byteMs: undefined,
-  askableMs: undefined,
+  earliestProbeMs: undefined,
 };
 
 describe("silence watch", () => {
@@ -83,7 +83,7 @@
 
   it("should make nothing of the silence of a server that may not be asked", () => {
     const watch = new SilenceWatch();
-    const resting = { ...TRY, expectedMs: 10_000, askableMs: 4_000 };
+    const resting = { ...TRY, expectedMs: 10_000, earliestProbeMs: 4_000 };
     assert.equal(watch.isQuiet(resting, 3_900), false);
     assert.equal(watch.judge(resting, 3_900), undefined);
     assert.equal(watch.judge(resting, 4_890), undefined);
--- a/src/gateway/server_admission.ts
+++ b/src/gateway/server_admission.ts
@@ -75,7 +75,7 @@
    * Probes count as requests, so a rate-limited server is never probed, and one that backs off
    * only after its backoff period.
    */
-  askableMs(server: ServerRecord): number | undefined {
+  earliestProbeMs(server: ServerRecord): number | undefined {
     const { serverLimits, serverRests } = this.#deps;
     if (serverLimits.of(server) !== undefined) return Infinity;
     const times = [serverLimits.endedMs(server), serverRests.untilMs(server)]
@@ -84,10 +84,11 @@
   }
 
   /** Whether a request may still be sent to its server; checked right before its first byte. */
-  maySend(server: ServerRecord, permit: SendPlace): boolean {
+  maySend(server: ServerRecord, reservation: SendPlace): boolean {
     const { serverDirectory, serverRests, clock } = this.#deps;
     return serverDirectory.isUsable(server.instance) &&
-      serverRests.leftMs(server, clock.monotonicMs()) === 0 && permit.take();
+      serverRests.leftMs(server, clock.monotonicMs()) === 0 &&
+      reservation.take();
   }
 
   /** Counts a request that is about to be sent, and reserves a rate-limit permit for it. */
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -196,7 +196,7 @@
     rest(TRIAL);
     // The first request of a part comes after its interval.
     assert.equal(chosen(), undefined);
-    assert.equal(serverAdmission.askableMs(STABLE), Infinity);
+    assert.equal(serverAdmission.earliestProbeMs(STABLE), Infinity);
     nowMs += 1_000;
     assert.equal(chosen(), STABLE.instance);
     const place = serverAdmission.reserve(STABLE);
@@ -211,7 +211,7 @@
     const endedMs = nowMs + 1;
     serverLimits.namesNone(STABLE, endedMs);
     assert.equal(chosen(), STABLE.instance);
-    assert.equal(serverAdmission.askableMs(STABLE), endedMs);
+    assert.equal(serverAdmission.earliestProbeMs(STABLE), endedMs);
   });
 
   it("should send nothing that was chosen before the word", () => {
--- a/src/gateway/try_silence.ts
+++ b/src/gateway/try_silence.ts
@@ -58,7 +58,9 @@
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
       byteMs: record.byteMs,
-      askableMs: hasEngine ? serverAdmission.askableMs(server) : undefined,
+      earliestProbeMs: hasEngine
+        ? serverAdmission.earliestProbeMs(server)
+        : undefined,
     };
     if (hasEngine && silenceWatch.isQuiet(waiting, nowMs)) {
       serverProbe.ask(
--- a/src/gateway/try_silence_test.ts
+++ b/src/gateway/try_silence_test.ts
@@ -32,14 +32,14 @@
 };
 
 let serverDirectory: ServerDirectory;
-let askableMs: number | undefined;
+let earliestProbeMs: number | undefined;
 let asked: number;
 let silence: TrySilence;
 
 beforeEach(() => {
   serverDirectory = new ServerDirectory();
   serverDirectory.put(SERVER);
-  askableMs = undefined;
+  earliestProbeMs = undefined;
   asked = 0;
   silence = new TrySilence({
     serverDirectory,
@@ -48,7 +48,7 @@
     serverNotices: {} as ServerNotices,
     attemptAcks: { probed: () => {} },
     serverAdmission: {
-      askableMs: () => askableMs,
+      earliestProbeMs: () => earliestProbeMs,
     } as unknown as ServerAdmission,
   });
 });
@@ -65,7 +65,7 @@
   });
 
   it("should have its server asked, but not while that rests", () => {
-    askableMs = SENT_MS + 3_000;
+    earliestProbeMs = SENT_MS + 3_000;
     assert.equal(silence.judge(WAITING, SENT_MS + 2_900), undefined);
     assert.equal(asked, 0);
     silence.judge(WAITING, SENT_MS + 3_500);
@@ -74,7 +74,7 @@
 
   it("should not be left for want of answers to what its server is not asked", () => {
     // It names a limit, and may count what it is asked.
-    askableMs = Infinity;
+    earliestProbeMs = Infinity;
     assert.equal(silence.judge(WAITING, SENT_MS + 5_000), undefined);
     assert.equal(asked, 0);
   });
