--- a/src/gateway/request_finisher.ts
+++ b/src/gateway/request_finisher.ts
@@ -56,10 +56,9 @@
    * if this VM abandoned its run.
    */
   waitOrRefuse(
-    { reason, opensInMs, leftMs, hasAbandonedRun: leftRunning }:
-      NoServerContext,
+    { reason, opensInMs, leftMs, hasAbandonedRun }: NoServerContext,
   ): number | undefined {
-    const mustComplete = this.#exchange.state === "begun" || leftRunning;
+    const mustComplete = this.#exchange.state === "begun" || hasAbandonedRun;
     const waitMs = this.#tally.nextWaitMs({ opensInMs, leftMs, mustComplete });
     if (waitMs !== undefined) return waitMs;
     const retryAfterMs = opensInMs === undefined
