--- a/src/gateway/attempt_observer.ts
+++ b/src/gateway/attempt_observer.ts
@@ -15,7 +15,7 @@
 import type { Logger } from "../runtime/logger.ts";
 import { promptKeyOf, sessionOf } from "./server_selector.ts";
 import type { AttemptRecord } from "./attempt_record.ts";
-import { ownTokens, type PredictedWork } from "./work_predictor.ts";
+import { type PredictedWork, unsharedPromptTokens } from "./work_predictor.ts";
 
 interface Deps {
   readonly serverLoads: ServerLoads;
@@ -60,7 +60,7 @@
     const { server, head, record, work } = observed;
     const { serverLoads, promptHolders, sessionBook, clock } = this.#deps;
     const { instance } = server;
-    serverLoads.begin(instance, work.readMs + work.writeMs);
+    serverLoads.begin(instance, work.prefillMs + work.decodeMs);
     const key = promptKeyOf(head, record.model);
     if (key !== undefined) {
       promptHolders.recordSent({ key, instance }, clock.monotonicMs());
@@ -86,13 +86,13 @@
     if (record.firstByteMs !== undefined) return;
     record.firstByteMs = nowMs - record.startedMs;
     // The first byte shows that the server has read the whole prompt.
-    serverLoads.lighten(server.instance, work.readMs);
+    serverLoads.lighten(server.instance, work.prefillMs);
     silenceWatch.firstByte(kindOf(route, record.model), record.firstByteMs);
     if (record.model === undefined) return;
     this.#deps.readPace.observe({
       service,
       model: record.model,
-      tokens: ownTokens(head),
+      tokens: unsharedPromptTokens(head),
       elapsedMs: record.firstByteMs,
     });
   }
@@ -104,7 +104,7 @@
   ): void {
     const { server, record, work } = observed;
     const read = record.firstByteMs !== undefined;
-    const remainingMs = work.writeMs + (read ? 0 : work.readMs);
+    const remainingMs = work.decodeMs + (read ? 0 : work.prefillMs);
     this.#deps.serverLoads.end(server.instance, remainingMs);
     if (wasNotRun(outcome)) this.#revertSession(observed);
     this.#recordHealth(outcome, server.instance);
--- a/src/gateway/attempt_observer_test.ts
+++ b/src/gateway/attempt_observer_test.ts
@@ -64,7 +64,7 @@
     route: "r-1" as RouteId,
     head: HEAD,
     record: createAttemptRecord(server, { model: undefined, ...times }),
-    work: { readMs: 1, writeMs: 1, sharedMs: 0 },
+    work: { prefillMs: 1, decodeMs: 1, sharedPrefillMs: 0 },
   };
   observer.attemptStarted(observed);
   return observed;
--- a/src/gateway/attempt_sender.ts
+++ b/src/gateway/attempt_sender.ts
@@ -19,13 +19,13 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import type { ModelChoice } from "./model_choice.ts";
-import type { Admitted } from "./request_admission.ts";
+import type { ModelCascade } from "./model_cascade.ts";
+import type { AdmittedRequest } from "./request_admission.ts";
 import type { RetryPermit } from "./retry_permit.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNoticeHandler } from "./server_notice_handler.ts";
 import type { SelectionCriteria, ServerSelector } from "./server_selector.ts";
-import type { SuspectPlaces } from "./suspect_places.ts";
+import type { SuspectPlacement } from "./suspect_placement.ts";
 import type { StreamRelay } from "./stream_relay.ts";
 import type { AttemptObserver, ObservedAttempt } from "./attempt_observer.ts";
 import {
@@ -47,9 +47,9 @@
 /** Dependencies shared by all senders. */
 export interface AttemptSenderDeps {
   readonly serverSelector: ServerSelector;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
   readonly placeBorrower: PlaceBorrower;
-  readonly suspectPlaces: SuspectPlaces;
+  readonly suspectPlacement: SuspectPlacement;
   readonly backendConnections: BackendConnections;
   readonly attemptObserver: AttemptObserver;
   readonly attemptStallDetector: AttemptStallDetector;
@@ -65,7 +65,7 @@
   readonly exchange: CallerExchange;
   readonly body: Buffer | undefined;
   readonly service: ServiceId;
-  readonly models: ModelChoice;
+  readonly models: ModelCascade;
   readonly stream: StreamRelay;
 }
 
@@ -79,7 +79,7 @@
 
 /** Options of a single attempt. */
 export interface AttemptOptions {
-  readonly admitted: Admitted;
+  readonly admitted: AdmittedRequest;
   /** Time until the request expires, in milliseconds. */
   readonly remainingMs: number;
   /** Decides by its head how a response is handled. */
@@ -142,7 +142,7 @@
    * no other one is available and `allowTried` is set.
    */
   chooseServer(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     options: ServerChoiceOptions,
   ): ServerRecord | undefined {
     const other = this.chooseOtherServer(admitted, options);
@@ -153,12 +153,12 @@
 
   /** Like `chooseServer`, but never returns the server of the latest attempt. */
   chooseOtherServer(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { allowTried, isolate }: ServerChoiceOptions,
   ): ServerRecord | undefined {
     const { model } = this.#request.models;
     if (isolate) {
-      const { taken } = this.#deps.suspectPlaces;
+      const { occupiedServers: taken } = this.#deps.suspectPlacement;
       const tried = new Set([...this.#tried, ...taken]);
       const isolated = this.#select(admitted, { tried, model });
       if (isolated !== undefined) return isolated;
@@ -172,7 +172,7 @@
 
   /** Whether an untried server is available that is not ejected for failures. */
   hasHealthyServer(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { isolate }: ServerChoiceOptions,
   ): boolean {
     const { serverLoads, clock } = this.#deps;
@@ -185,20 +185,20 @@
   }
 
   /** Predicted time to first byte of a model on the server that would be chosen for it. */
-  predictStartMs(admitted: Admitted, model: ModelId): number {
+  predictStartMs(admitted: AdmittedRequest, model: ModelId): number {
     const work = this.#predictWork(admitted, model);
     const server = this.#select(admitted, { tried: NO_INSTANCES, model });
     if (server === undefined) return Infinity;
     const { serverLoads, serverSelector } = this.#deps;
     const { head } = this.#request.exchange;
     const isCached = serverSelector.hasCachedPrompt(server, { head, model });
-    return serverLoads.work(server.instance) + work.readMs +
-      (isCached ? 0 : work.sharedMs);
+    return serverLoads.work(server.instance) + work.prefillMs +
+      (isCached ? 0 : work.sharedPrefillMs);
   }
 
   /** Borrows rate limit capacity from another VM; returns whether it was granted. */
   borrowCapacity(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { allowTried }: ServerChoiceOptions,
   ): Promise<boolean> {
     const { serverSelector, placeBorrower } = this.#deps;
@@ -212,7 +212,7 @@
    * Milliseconds until a server accepts the request; undefined unless all of them are backing off
    * or in slow start.
    */
-  opensInMs(admitted: Admitted): number | undefined {
+  opensInMs(admitted: AdmittedRequest): number | undefined {
     const { model } = this.#request.models;
     return this.#deps.serverSelector.availableInMs(
       this.#selection(admitted, { tried: NO_INSTANCES, model }),
@@ -232,9 +232,9 @@
     const {
       backendConnections,
       attemptObserver,
-      serverGate,
+      serverAdmission,
       serverNoticeHandler,
-      suspectPlaces,
+      suspectPlacement,
       attemptAcks,
     } = this.#deps;
     const { exchange, stream } = this.#request;
@@ -242,8 +242,8 @@
     this.#server = server;
     this.#attempts.push(observed.record);
     this.#tried.add(server.instance);
-    const place = serverGate.sending(server);
-    if (options.isolate) suspectPlaces.begin(server.instance);
+    const place = serverAdmission.reserve(server);
+    if (options.isolate) suspectPlacement.add(server.instance);
     attemptObserver.attemptStarted(observed);
     this.#current = new BackendTry(backendConnections, {
       server,
@@ -255,7 +255,7 @@
       // While the connection was set up, the server may have asked for backoff or a lower rate,
       // or may have started draining.
       maySend: () => {
-        const maySend = serverGate.maySend(server, place) &&
+        const maySend = serverAdmission.maySend(server, place) &&
           this.#consumeRetryPermit(server, options);
         if (maySend) this.#trackAck(observed, options);
         return maySend;
@@ -263,7 +263,7 @@
       sink: {
         judge: (head) => {
           observed.record.confidence = head.decoded.confidence;
-          serverGate.took(server, observed.record.startedMs);
+          serverAdmission.recordAccepted(server, observed.record.startedMs);
           if (head.status < FIRST_FAILURE_STATUS) {
             serverNoticeHandler.handleAnswer(
               server,
@@ -290,7 +290,7 @@
     this.#current = undefined;
     place.release();
     if (outcome.tag === "withheld") this.#tried.delete(server.instance);
-    if (options.isolate) suspectPlaces.end(server.instance);
+    if (options.isolate) suspectPlacement.remove(server.instance);
     if (outcome.tag === "not_sent" && outcome.reason === CONNECTION_REFUSED) {
       attemptAcks.connectionRefused(server);
     }
@@ -343,7 +343,7 @@
 
   /** Returns why the current attempt counts as stalled; undefined while it does not. */
   stallReason(
-    { table, route }: Admitted,
+    { table, route }: AdmittedRequest,
     nowMs: number,
   ): SilenceReason | undefined {
     const record = this.#attempts.at(-1);
@@ -357,7 +357,7 @@
   }
 
   #select(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { tried, model }: {
       tried: ReadonlySet<InstanceId>;
       model: ModelId | undefined;
@@ -369,23 +369,23 @@
   }
 
   #selection(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     { tried, model }: Pick<SelectionCriteria, "tried" | "model">,
   ): SelectionCriteria {
     const { exchange, service } = this.#request;
-    const { sharedMs } = this.#predictWork(admitted, model);
+    const { sharedPrefillMs: sharedMs } = this.#predictWork(admitted, model);
     const { head } = exchange;
     return { service, head, model, tried, isRetry: this.wasSent, sharedMs };
   }
 
-  #observe(server: ServerRecord, admitted: Admitted): ObservedAttempt {
+  #observe(server: ServerRecord, admitted: AdmittedRequest): ObservedAttempt {
     const { exchange, service, models } = this.#request;
     const { model } = models;
     const { clock, serverLoads } = this.#deps;
     const work = this.#predictWork(admitted, model);
     // Includes the shared prompt parts, as it is not certain that the server has them cached.
-    const expectedMs = serverLoads.work(server.instance) + work.readMs +
-      work.sharedMs;
+    const expectedMs = serverLoads.work(server.instance) + work.prefillMs +
+      work.sharedPrefillMs;
     return {
       server,
       service,
@@ -401,7 +401,7 @@
   }
 
   #predictWork(
-    { table }: Admitted,
+    { table }: AdmittedRequest,
     model: ModelId | undefined,
   ): PredictedWork {
     const { exchange, service } = this.#request;
--- a/src/gateway/attempt_stall_detector.ts
+++ b/src/gateway/attempt_stall_detector.ts
@@ -14,7 +14,7 @@
 } from "../core/servers/silence.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNoticeHandler } from "./server_notice_handler.ts";
 import type { AttemptRecord } from "./attempt_record.ts";
 
@@ -24,7 +24,7 @@
   readonly serverProbe: ServerProbe;
   readonly serverNoticeHandler: ServerNoticeHandler;
   readonly attemptAcks: Pick<AttemptAcks, "probeAnswered">;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
 }
 
 /** An attempt that is waiting for bytes from its server. */
@@ -49,7 +49,7 @@
     { server, record, route, isModelServer }: PendingAttempt,
     nowMs: number,
   ): SilenceReason | undefined {
-    const { silenceWatch, serverProbe, serverGate } = this.#deps;
+    const { silenceWatch, serverProbe, serverAdmission } = this.#deps;
     if (this.#hasRestarted(server)) return "server_restarted";
     const waiting = {
       instance: record.server,
@@ -58,7 +58,9 @@
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
       byteMs: record.lastByteMs,
-      askableMs: isModelServer ? serverGate.askableMs(server) : undefined,
+      earliestProbeMs: isModelServer
+        ? serverAdmission.earliestProbeMs(server)
+        : undefined,
     };
     if (isModelServer && silenceWatch.isQuiet(waiting, nowMs)) {
       serverProbe.ask(
--- a/src/gateway/attempt_stall_detector_test.ts
+++ b/src/gateway/attempt_stall_detector_test.ts
@@ -12,7 +12,7 @@
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { SilenceWatch } from "../core/servers/silence.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNoticeHandler } from "./server_notice_handler.ts";
 import { createAttemptRecord } from "./attempt_record.ts";
 import { AttemptStallDetector } from "./attempt_stall_detector.ts";
@@ -33,14 +33,14 @@
 };
 
 let serverDirectory: ServerDirectory;
-let askableMs: number | undefined;
+let earliestProbeMs: number | undefined;
 let probes: number;
 let detector: AttemptStallDetector;
 
 beforeEach(() => {
   serverDirectory = new ServerDirectory();
   serverDirectory.put(SERVER);
-  askableMs = undefined;
+  earliestProbeMs = undefined;
   probes = 0;
   detector = new AttemptStallDetector({
     serverDirectory,
@@ -48,7 +48,9 @@
     serverProbe: { ask: () => void (probes += 1) } as unknown as ServerProbe,
     serverNoticeHandler: {} as ServerNoticeHandler,
     attemptAcks: { probeAnswered: () => {} },
-    serverGate: { askableMs: () => askableMs } as unknown as ServerGate,
+    serverAdmission: {
+      earliestProbeMs: () => earliestProbeMs,
+    } as unknown as ServerAdmission,
   });
 });
 
@@ -64,7 +66,7 @@
   });
 
   it("should have its server probed, but not during backoff", () => {
-    askableMs = SENT_MS + 3_000;
+    earliestProbeMs = SENT_MS + 3_000;
     assert.equal(detector.check(PENDING, SENT_MS + 2_900), undefined);
     assert.equal(probes, 0);
     detector.check(PENDING, SENT_MS + 3_500);
@@ -73,7 +75,7 @@
 
   it("should not be stalled for missing probe responses when probes are not allowed", () => {
     // The server has stated a rate limit, and may count probes against it.
-    askableMs = Infinity;
+    earliestProbeMs = Infinity;
     assert.equal(detector.check(PENDING, SENT_MS + 5_000), undefined);
     assert.equal(probes, 0);
   });
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -14,11 +14,11 @@
 import { pause } from "../runtime/pause.ts";
 import type { ServerFollower } from "../store/server_follower.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import type { CrashWatch } from "./crash_watch.ts";
-import { ModelChoice } from "./model_choice.ts";
-import type { Admitted } from "./request_admission.ts";
-import { RequestCrashes } from "./request_crashes.ts";
-import { type NoServer, RequestEnd } from "./request_end.ts";
+import type { CrashDetector } from "./crash_detector.ts";
+import { ModelCascade } from "./model_cascade.ts";
+import type { AdmittedRequest } from "./request_admission.ts";
+import { RequestCrashTracker } from "./request_crash_tracker.ts";
+import { type NoServerContext, RequestFinisher } from "./request_finisher.ts";
 import { RequestIdentity } from "./request_identity.ts";
 import type { RequestLog } from "./request_log.ts";
 import { RetryPermit } from "./retry_permit.ts";
@@ -41,7 +41,7 @@
   readonly serverFollower: ServerFollower;
   readonly retryBudget: RetryBudget;
   readonly modelPace: ModelPace;
-  readonly crashWatch: CrashWatch;
+  readonly crashDetector: CrashDetector;
   readonly requestLog: RequestLog;
   readonly chance: () => number;
 }
@@ -53,7 +53,7 @@
   readonly #deps: RequestRunDeps;
   readonly #exchange: CallerExchange;
   readonly #service: ServiceId;
-  readonly #models: ModelChoice;
+  readonly #models: ModelCascade;
   readonly #stream: StreamRelay;
   readonly #sender: AttemptSender;
   readonly #limitMs: number;
@@ -62,12 +62,12 @@
    * configuration (a key revoked, a route removed, the store unreachable) would cut streams of
    * which callers have already received a part.
    */
-  readonly #admitted: Admitted;
+  readonly #admitted: AdmittedRequest;
   readonly #identity: RequestIdentity;
-  readonly #crashes: RequestCrashes;
+  readonly #crashes: RequestCrashTracker;
   readonly #tally = new RunTally();
   readonly #retryPermit: RetryPermit;
-  readonly #end: RequestEnd;
+  readonly #end: RequestFinisher;
   #expired = false;
   /** Whether this VM has aborted an attempt that its server was still running. */
   #abortedRunning = false;
@@ -77,7 +77,7 @@
     deps: RequestRunDeps,
     { exchange, admitted, body }: {
       exchange: CallerExchange;
-      admitted: Admitted;
+      admitted: AdmittedRequest;
       body: Buffer | undefined;
     },
   ) {
@@ -89,9 +89,9 @@
     const { head, method, host, url } = exchange;
     const { account, route } = admitted;
     this.#identity = new RequestIdentity({ method, host, url, account, body });
-    this.#crashes = new RequestCrashes(deps.crashWatch, {
+    this.#crashes = new RequestCrashTracker(deps.crashDetector, {
       identity: this.#identity,
-      attempt: head.attempt,
+      attemptId: head.attempt,
       account,
       service: this.#service,
       streaming: route.kind === "stream",
@@ -100,8 +100,8 @@
       head.waitMs ?? DEFAULT_TIME_LIMIT_MS,
       route.timeLimitMs ?? Infinity,
     );
-    this.#models = new ModelChoice(deps.modelPace, { head, route });
-    this.#end = new RequestEnd(deps, {
+    this.#models = new ModelCascade(deps.modelPace, { head, route });
+    this.#end = new RequestFinisher(deps, {
       exchange,
       tally: this.#tally,
       summary: () => this.summary(),
@@ -122,7 +122,7 @@
     return {
       service: this.#service,
       route: route.id,
-      request: this.#identity,
+      identity: this.#identity,
       account,
       configurationVersion: table.version,
       confirmedAgeMs,
@@ -148,7 +148,9 @@
   async #step(): Promise<StepResult> {
     if (this.#exchange.isFinished) return "done";
     if (this.#expired || this.#leftMs() < MIN_LEFT_MS) return this.#timeUp();
-    const crashState = await this.#crashes.settled(() => this.#isFinished);
+    const crashState = await this.#crashes.waitUntilSettled(() =>
+      this.#isFinished
+    );
     if (crashState.tag === "quarantined") {
       return this.#refuse(this.#tally.crashRefusal(crashState));
     }
@@ -161,7 +163,7 @@
     if (!this.#acquirePermit()) return this.#waitOrRefuse(BUDGET_EXHAUSTED);
     const outcome = await this.#sendAttempt(server);
     const record = this.#sender.attempts.at(-1);
-    await this.#crashes.tryEnded(outcome, { server, record });
+    await this.#crashes.recordAttemptEnd(outcome, { server, record });
     return await this.#handleOutcome(outcome, server);
   }
 
@@ -254,12 +256,13 @@
     // Escalation costs a retry, which other requests may need to get any response at all.
     if (!this.#retryPermit.hasSpare) return false;
     const { route } = this.#admitted;
-    return this.#models.wantsLarger({
+    return this.#models.shouldEscalate({
       route,
       confidence,
       usedMs: this.#exchange.ageMs(),
       limitMs: this.#limitMs,
-      startMsOf: (model) => this.#sender.predictStartMs(this.#admitted, model),
+      predictStartMs: (model) =>
+        this.#sender.predictStartMs(this.#admitted, model),
       runsLeft: route.maxRuns - this.#tally.runs - 1,
     });
   }
@@ -270,14 +273,14 @@
   ): StepResult | Promise<StepResult> {
     switch (outcome.tag) {
       case "given_up":
-        this.#tally.ran();
+        this.#tally.recordRun();
         return "again";
       case "withheld":
         return "again";
       case "not_sent":
         return this.#mayTryAnother() ? "again" : this.#waitOrRefuse();
       case "not_run":
-        return this.#tally.notRun() ? "again" : this.#waitOrRefuse();
+        return this.#tally.recordRefusal() ? "again" : this.#waitOrRefuse();
       case "misdirected":
         this.#deps.serverFollower.misdirected(server.instance);
         return "again";
@@ -301,12 +304,12 @@
       this.#admitted,
       this.#choiceOptions,
     );
-    return this.#tally.notSent({ tookMs, hasSound });
+    return this.#tally.recordUnsent({ tookMs, hasSound });
   }
 
   #escalate(): StepResult {
-    this.#tally.ran();
-    this.#models.moveOn();
+    this.#tally.recordRun();
+    this.#models.escalate();
     this.#sender.resetTried();
     return "again";
   }
@@ -317,33 +320,33 @@
     if (this.#exchange.state === "begun") {
       return this.#resumeStream(`status ${head.status}`);
     }
-    this.#tally.ran();
+    this.#tally.recordRun();
     if (head.status >= 500 && this.#mayRetry() && this.#canRetryElsewhere()) {
       return "again";
     }
     const complete = head.status < FIRST_ERROR_STATUS && head.decoded.framed;
-    if (complete) this.#crashes.endedWell();
+    if (complete) this.#crashes.recordSuccess();
     this.#exchange.respond(head, body);
     return "done";
   }
 
   #handleStreamed({ framed }: { framed: boolean }): StepResult {
     if (this.#stream.end()) {
-      if (framed) this.#crashes.endedWell();
+      if (framed) this.#crashes.recordSuccess();
       return "done";
     }
     return this.#resumeStream("stream ended in the middle of an event");
   }
 
   #handleBroken(reason: string): StepResult {
-    this.#tally.ran();
+    this.#tally.recordRun();
     if (this.#mayRetry()) return "again";
     return this.#refuse({ tag: "answer_lost", reason });
   }
 
   /** Continues the stream on another server, within the same response to the caller. */
   #resumeStream(reason: string): StepResult {
-    this.#tally.ran();
+    this.#tally.recordRun();
     this.#stream.dropPartialEvent();
     const { route } = this.#admitted;
     if (route.resumable && this.#tally.runs < route.maxRuns) return "again";
@@ -365,13 +368,13 @@
 
   /** Waits for a server to become available, or refuses the request. */
   async #handleNoServer(
-    { reason, opensInMs }: Pick<NoServer, "reason" | "opensInMs">,
+    { reason, opensInMs }: Pick<NoServerContext, "reason" | "opensInMs">,
   ): Promise<StepResult> {
-    const waitMs = this.#end.noServer({
+    const waitMs = this.#end.waitOrRefuse({
       reason,
       opensInMs,
       leftMs: this.#leftMs(),
-      leftRunning: this.#abortedRunning,
+      hasAbandonedRun: this.#abortedRunning,
     });
     if (waitMs === undefined) return "done";
     await pause(waitMs);
@@ -379,7 +382,7 @@
   }
 
   #timeUp(): StepResult {
-    this.#end.timeUp();
+    this.#end.refuseExpired();
     return "done";
   }
 
@@ -390,7 +393,7 @@
 
   #expire(): void {
     this.#expired = true;
-    if (this.#sender.isCurrentSent) this.#tally.leftUnderWay();
+    if (this.#sender.isCurrentSent) this.#tally.recordAbandonedRun();
     this.#timeUp();
     this.#sender.abort();
   }
--- a/src/gateway/server_selector.ts
+++ b/src/gateway/server_selector.ts
@@ -22,14 +22,14 @@
 import type { VmSettings } from "../platform/vm_settings_wire.ts";
 import type { EvacuationFollower } from "../store/evacuation_follower.ts";
 import type { RollOutFollower } from "../store/roll_out_follower.ts";
-import type { ServerGate } from "./server_gate.ts";
+import type { ServerAdmission } from "./server_admission.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { Clock } from "../runtime/clock.ts";
 
 interface Deps {
   readonly vmSettings: VmSettings;
   readonly serverDirectory: ServerDirectory;
-  readonly serverGate: ServerGate;
+  readonly serverAdmission: ServerAdmission;
   readonly releaseGate: ReleaseGate;
   readonly releaseChoice: ReleaseChoice;
   readonly rollOutFollower: RollOutFollower;
@@ -86,10 +86,10 @@
 
   /** Returns the server to use; undefined if none accepts new work. */
   choose(selection: SelectionCriteria): ServerRecord | undefined {
-    const { serverGate } = this.#deps;
+    const { serverAdmission } = this.#deps;
     for (const candidates of this.#candidateSets(selection)) {
       const open = this.#responsiveServers(
-        serverGate.open(candidates),
+        serverAdmission.filterAvailable(candidates),
         selection,
       );
       const server = this.#chooseAmong(open, selection);
@@ -107,23 +107,26 @@
    * backoff, cold or at their rate limit; undefined otherwise.
    */
   availableInMs(selection: SelectionCriteria): number | undefined {
-    const { serverDirectory, serverGate } = this.#deps;
+    const { serverDirectory, serverAdmission } = this.#deps;
     const [first = []] = this.#candidateSets(selection);
     const isPinned = this.#isPinned(selection, first);
-    return serverGate.opensInMs(
+    return serverAdmission.opensInMs(
       isPinned ? first : serverDirectory.usable(selection.service),
     );
   }
 
   /** Servers that would accept the request if another VM granted this VM a permit. */
   serversNeedingPermit(selection: SelectionCriteria): readonly ServerRecord[] {
-    const { serverGate } = this.#deps;
+    const { serverAdmission } = this.#deps;
     const candidateSets = this.#candidateSets(selection);
     const [first = []] = candidateSets;
     const servers = this.#isPinned(selection, first)
       ? first
       : candidateSets.flat();
-    return this.#responsiveServers(serverGate.lacking(servers), selection)
+    return this.#responsiveServers(
+      serverAdmission.filterWithoutPermit(servers),
+      selection,
+    )
       .filter(({ instance }) => !selection.tried.has(instance));
   }
 
@@ -156,14 +159,14 @@
     candidates: readonly ServerRecord[],
     selection: SelectionCriteria,
   ): ServerRecord | undefined {
-    const { affinityChoice, serverGate, vmSettings, clock } = this.#deps;
+    const { affinityChoice, serverAdmission, vmSettings, clock } = this.#deps;
     const dataCentre: DataCentreId = vmSettings.dataCentre;
     return affinityChoice.choose({
       candidates,
       affinity: promptKeyOf(selection.head, selection.model),
       dataCentre,
       tried: selection.tried,
-      rateLimited: serverGate.limited(candidates),
+      rateLimited: serverAdmission.filterRateLimited(candidates),
       sharedMs: selection.sharedMs,
       nowMs: clock.monotonicMs(),
     });
@@ -174,7 +177,7 @@
     { service, head }: SelectionCriteria,
   ): (readonly ServerRecord[])[] {
     const { serverDirectory, releaseGate, rollOutFollower } = this.#deps;
-    const { evacuationFollower, serverGate } = this.#deps;
+    const { evacuationFollower, serverAdmission } = this.#deps;
     if (!rollOutFollower.ready || !evacuationFollower.ready) return [];
     const nowMs = this.#deps.clock.monotonicMs();
     const servers = serverDirectory.usable(service);
@@ -182,7 +185,7 @@
     return this.#deps.releaseChoice.choose({
       service,
       allowed: {
-        stable: serverGate.bearing(service, stable),
+        stable: serverAdmission.filterBySlowStart(service, stable),
         trial: this.#trialCandidates(service, trial),
       },
       share: releaseGate.trialShare(service),
@@ -200,9 +203,9 @@
     service: ServiceId,
     trial: readonly ServerRecord[],
   ): readonly ServerRecord[] {
-    const { serverGate } = this.#deps;
-    const eligible = serverGate.bearing(service, trial);
-    const open = serverGate.open(eligible);
+    const { serverAdmission } = this.#deps;
+    const eligible = serverAdmission.filterBySlowStart(service, trial);
+    const open = serverAdmission.filterAvailable(eligible);
     return open.length > 0 ? open : eligible;
   }
 }
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -18,7 +18,7 @@
 import { SilentLogger } from "../runtime/logger.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ColdServerGuard } from "./cold_server_guard.ts";
-import { ServerGate } from "./server_gate.ts";
+import { ServerAdmission } from "./server_admission.ts";
 import {
   type SelectionCriteria,
   ServerSelector,
@@ -66,7 +66,7 @@
   let limitAdmission: LimitAdmission;
   let sessionBook: SessionBook;
   let serverLoads: ServerLoads;
-  let serverGate: ServerGate;
+  let serverAdmission: ServerAdmission;
   let selector: ServerSelector;
 
   beforeEach(() => {
@@ -88,7 +88,7 @@
     });
     // Passes the start-up period after which the VM is assumed to know all other VMs.
     nowMs += SETTLE_MS;
-    serverGate = new ServerGate({
+    serverAdmission = new ServerAdmission({
       serverDirectory,
       serverRests,
       serverLimits,
@@ -104,7 +104,7 @@
     selector = new ServerSelector({
       vmSettings: { dataCentre: STABLE.dataCentre } as never,
       serverDirectory,
-      serverGate,
+      serverAdmission,
       releaseGate: trialGate(),
       releaseChoice: new ReleaseChoice({ sessionBook, unitHash }),
       rollOutFollower: { ready: true } as never,
@@ -196,29 +196,32 @@
     backOff(TRIAL);
     // The first permit of a VM's share of the limit becomes available after one interval.
     assert.equal(chooseInstance(), undefined);
-    assert.equal(serverGate.askableMs(STABLE), Infinity);
+    assert.equal(serverAdmission.earliestProbeMs(STABLE), Infinity);
     nowMs += 1_000;
     assert.equal(chooseInstance(), STABLE.instance);
-    const permit = serverGate.sending(STABLE);
+    const permit = serverAdmission.reserve(STABLE);
     assert.equal(chooseInstance(), undefined);
     permit.release();
     assert.equal(chooseInstance(), STABLE.instance);
-    assert.equal(serverGate.maySend(STABLE, serverGate.sending(STABLE)), true);
+    assert.equal(
+      serverAdmission.maySend(STABLE, serverAdmission.reserve(STABLE)),
+      true,
+    );
     assert.equal(chooseInstance(), undefined);
     const endedMs = nowMs + 1;
     serverLimits.namesNone(STABLE, endedMs);
     assert.equal(chooseInstance(), STABLE.instance);
-    assert.equal(serverGate.askableMs(STABLE), endedMs);
+    assert.equal(serverAdmission.earliestProbeMs(STABLE), endedMs);
   });
 
   it("should not send a request chosen before a backoff or shutdown notice", () => {
     const permit = limitAdmission.reserve(STABLE);
-    assert.equal(serverGate.maySend(STABLE, permit), true);
+    assert.equal(serverAdmission.maySend(STABLE, permit), true);
     backOff(STABLE);
-    assert.equal(serverGate.maySend(STABLE, permit), false);
+    assert.equal(serverAdmission.maySend(STABLE, permit), false);
     nowMs += BACKOFF_MS;
-    assert.equal(serverGate.maySend(STABLE, permit), true);
+    assert.equal(serverAdmission.maySend(STABLE, permit), true);
     serverDirectory.leaves(STABLE);
-    assert.equal(serverGate.maySend(STABLE, permit), false);
+    assert.equal(serverAdmission.maySend(STABLE, permit), false);
   });
 });
