--- a/src/backends/server_probe.ts
+++ b/src/backends/server_probe.ts
@@ -4,7 +4,7 @@
 import type { InstanceId } from "../core/ids.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import type { SilenceWatch } from "../core/servers/silence.ts";
+import type { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
 import { decodeServerNotice } from "../platform/server_notice_wire.ts";
 import { SERVER_REPORT_PATH } from "../platform/server_report_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -19,7 +19,7 @@
 export type NoticeListener = (notice: ServerNotice) => void;
 
 interface Deps {
-  readonly silenceWatch: SilenceWatch;
+  readonly serverStallDetector: ServerStallDetector;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -58,7 +58,7 @@
     { instance, address }: Pick<ServerRecord, "instance" | "address">,
     onNotice: NoticeListener,
   ): Promise<void> {
-    const { silenceWatch, clock, logger } = this.#deps;
+    const { serverStallDetector, clock, logger } = this.#deps;
     try {
       const res = await request(`http://${address}${SERVER_REPORT_PATH}`, {
         signal: AbortSignal.timeout(TIMEOUT_MS),
@@ -66,7 +66,7 @@
       });
       onNotice(decodeServerNotice(res.statusCode, res.headers));
       await res.body.dump();
-      silenceWatch.spoke(instance, clock.monotonicMs());
+      serverStallDetector.recordActivity(instance, clock.monotonicMs());
     } catch (err) {
       logger.info("Server does not answer a probe", {
         server: instance,
--- a/src/backends/server_probe_test.ts
+++ b/src/backends/server_probe_test.ts
@@ -4,7 +4,7 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import type { InstanceId } from "../core/ids.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
-import { SilenceWatch } from "../core/servers/silence.ts";
+import { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
 import { SERVER_REPORT_PATH } from "../platform/server_report_wire.ts";
 import type { Logger } from "../runtime/logger.ts";
 import { ServerProbe } from "./server_probe.ts";
@@ -24,7 +24,7 @@
 let server: Server;
 let paths: string[];
 let nowMs: number;
-let silenceWatch: SilenceWatch;
+let serverStallDetector: ServerStallDetector;
 let warned: () => void;
 /** Of a server that is full; undefined for one that is not. */
 let headers: OutgoingHttpHeaders | undefined;
@@ -32,7 +32,7 @@
 function newProbe(): ServerProbe {
   const logger = { info: () => warned() } as unknown as Logger;
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
-  return new ServerProbe({ silenceWatch, clock, logger });
+  return new ServerProbe({ serverStallDetector, clock, logger });
 }
 
 async function until(holds: () => boolean): Promise<void> {
@@ -42,7 +42,7 @@
 beforeEach(async () => {
   paths = [];
   nowMs = 1_000;
-  silenceWatch = new SilenceWatch();
+  serverStallDetector = new ServerStallDetector();
   warned = () => {};
   headers = undefined;
   server = createServer((req, res) => {
@@ -62,9 +62,14 @@
 describe("probe of a quiet server", () => {
   it("should count an answer as a sign of life", async () => {
     const { port } = server.address() as AddressInfo;
-    assert.equal(silenceWatch.judge(WAITING, 1_000), "server_silent");
+    assert.equal(
+      serverStallDetector.detectStall(WAITING, 1_000),
+      "server_silent",
+    );
     newProbe().ask({ instance, address: `127.0.0.1:${port}` }, unheard);
-    await until(() => silenceWatch.judge(WAITING, 1_000) === undefined);
+    await until(() =>
+      serverStallDetector.detectStall(WAITING, 1_000) === undefined
+    );
     assert.deepEqual(paths, [SERVER_REPORT_PATH]);
   });
 
@@ -104,6 +109,9 @@
     await new Promise((resolve) => server.close(resolve));
     newProbe().ask({ instance, address: `127.0.0.1:${port}` }, unheard);
     await told;
-    assert.equal(silenceWatch.judge(WAITING, 1_000), "server_silent");
+    assert.equal(
+      serverStallDetector.detectStall(WAITING, 1_000),
+      "server_silent",
+    );
   });
 });
--- a/src/core/limits/surge_limit.ts
+++ b/src/core/limits/burst_detector.ts
@@ -3,7 +3,7 @@
  * latter were sent earlier than they are read, and nothing on them says when.
  */
 
-import { WindowCount } from "./window_count.ts";
+import { WindowCount } from "./sliding_window_counter.ts";
 
 /** Time over which a surge is measured, in milliseconds. */
 const SLICE_MS = 500;
--- a/src/core/limits/entry_retry_budget.ts
+++ b/src/core/limits/entry_retry_budget.ts
@@ -10,12 +10,12 @@
   #saved = MOST_SAVED;
 
   /** Counts a first try. */
-  earn(): void {
+  deposit(): void {
     this.#saved = Math.min(MOST_SAVED, this.#saved + EARNED_PER_REQUEST);
   }
 
   /** Returns whether a retry may be made, and counts it. */
-  spend(): boolean {
+  tryWithdraw(): boolean {
     if (this.#saved < 1) return false;
     this.#saved -= 1;
     return true;
--- a/src/core/limits/in_flight_limits.ts
+++ b/src/core/limits/in_flight_limits.ts
@@ -24,16 +24,16 @@
   }
 
   /** Requests of one account in flight. */
-  ofAccount(id: AccountId): number {
+  countOfAccount(id: AccountId): number {
     return this.#byAccount.get(id) ?? 0;
   }
 
   /** Lets a request in, to be ended by `leave`, or tells why not. */
-  enter(account: Account): Result<undefined, RequestError> {
+  tryAcquire(account: Account): Result<undefined, RequestError> {
     if (this.#total >= this.#limit) {
       return fail({ tag: "overloaded", retryAfterMs: RETRY_AFTER_MS });
     }
-    const count = this.ofAccount(account.id);
+    const count = this.countOfAccount(account.id);
     if (count >= account.max_in_flight) {
       const limit = account.max_in_flight;
       return fail({
@@ -48,9 +48,9 @@
   }
 
   /** Ends a request that was let in. */
-  leave(id: AccountId): void {
+  release(id: AccountId): void {
     this.#total -= 1;
-    const count = this.ofAccount(id) - 1;
+    const count = this.countOfAccount(id) - 1;
     if (count > 0) this.#byAccount.set(id, count);
     else this.#byAccount.delete(id);
   }
--- a/src/core/limits/limits_test.ts
+++ b/src/core/limits/limits_test.ts
@@ -10,18 +10,18 @@
 
   test("should hold one account's wave apart from the others", () => {
     const limits = new InFlightLimits(10);
-    assert.equal(limits.enter(small).ok, true);
-    const second = limits.enter(small);
+    assert.equal(limits.tryAcquire(small).ok, true);
+    const second = limits.tryAcquire(small);
     assert.ok(!second.ok && second.error.tag === "account_limit");
-    assert.equal(limits.enter(large).ok, true);
-    limits.leave(small.id);
-    assert.equal(limits.enter(small).ok, true);
+    assert.equal(limits.tryAcquire(large).ok, true);
+    limits.release(small.id);
+    assert.equal(limits.tryAcquire(small).ok, true);
   });
 
   test("should refuse beyond the entry's own limit and say when to come back", () => {
     const limits = new InFlightLimits(1);
-    limits.enter(large);
-    const second = limits.enter(large);
+    limits.tryAcquire(large);
+    const second = limits.tryAcquire(large);
     assert.ok(
       !second.ok && second.error.tag === "overloaded" &&
         second.error.retryAfterMs > 0,
@@ -32,11 +32,11 @@
 describe("a retry budget", () => {
   test("should keep retries at a tenth of the requests once savings are spent", () => {
     const budget = new EntryRetryBudget();
-    while (budget.spend());
+    while (budget.tryWithdraw());
     let retries = 0;
     for (let request = 0; request < 1_000; request++) {
-      budget.earn();
-      if (budget.spend()) retries += 1;
+      budget.deposit();
+      if (budget.tryWithdraw()) retries += 1;
     }
     assert.ok(retries >= 99 && retries <= 100, `${retries} retries`);
   });
--- a/src/core/limits/retry_budget.ts
+++ b/src/core/limits/retry_budget.ts
@@ -4,8 +4,8 @@
  */
 
 import type { ServiceId } from "../ids.ts";
-import { SurgeLimit } from "./surge_limit.ts";
-import { WindowCount } from "./window_count.ts";
+import { SurgeLimit } from "./burst_detector.ts";
+import { WindowCount } from "./sliding_window_counter.ts";
 
 /** What the fleet is allowed over each window. */
 export interface RetryBounds {
@@ -19,15 +19,15 @@
 /** What a budget stands at, for the log. */
 export interface RetryBudgetState {
   /** Retries that may still be acquired now. */
-  readonly left: number;
+  readonly available: number;
   /** Those of them that are not kept for answers that would be lost. */
-  readonly spare: number;
+  readonly unreserved: number;
   /** Retries earned by requests and not sent yet; negative while too many lie unread. */
   readonly earned: number;
   /** Those of them that may be sent now, as not too many lie unread. */
   readonly sendable: number;
   /** Retries earned by requests that may still arrive at a server. */
-  readonly unread: number;
+  readonly unacked: number;
   /** What this VM may still send out of the fleet's allowance. */
   readonly allowance: number;
   /** Permits that were acquired and not sent yet. */
@@ -137,7 +137,7 @@
 
   /** Holds a permit for one retry; returns whether it could. */
   acquire(service: ServiceId, nowMs: number): boolean {
-    if (this.state(service, nowMs).left < 1) return false;
+    if (this.state(service, nowMs).available < 1) return false;
     this.#account(service).held += 1;
     return true;
   }
@@ -163,7 +163,7 @@
   }
 
   /** Notes that a retry has arrived at its server, or can't arrive any more. */
-  arrived(retry: SentRetry, nowMs: number): void {
+  recordArrival(retry: SentRetry, nowMs: number): void {
     const account = this.#account(retry.service);
     this.#limitSaved(account, nowMs);
     account.unread.delete(retry);
@@ -189,11 +189,11 @@
     const sendable = this.#sendable(account, nowMs);
     const left = sendable + allowance - account.held;
     return {
-      left,
-      spare: left - RESERVED_SHARE * (mostSaved + mostAllowance),
+      available: left,
+      unreserved: left - RESERVED_SHARE * (mostSaved + mostAllowance),
       earned,
       sendable,
-      unread: unreadOf(account),
+      unacked: unreadOf(account),
       allowance,
       held: account.held,
       requests: account.requests.total(nowMs),
--- a/src/core/limits/retry_budget_test.ts
+++ b/src/core/limits/retry_budget_test.ts
@@ -31,7 +31,7 @@
 function send(budget: RetryBudget, nowMs: number): boolean {
   if (!budget.acquire(SERVICE, nowMs)) return false;
   const retry = budget.send(SERVICE, nowMs);
-  if (retry !== undefined) budget.arrived(retry, nowMs);
+  if (retry !== undefined) budget.recordArrival(retry, nowMs);
   return retry !== undefined;
 }
 
@@ -73,7 +73,9 @@
     // A fifth of 100 requests, the oldest of which may be forgotten a little early.
     assert.ok(earned >= 18 && earned < 20.3);
     let sent = 0;
-    while (budget.state(SERVICE, 0).spare >= 1 && send(budget, 0)) sent += 1;
+    while (budget.state(SERVICE, 0).unreserved >= 1 && send(budget, 0)) {
+      sent += 1;
+    }
     assert.equal(sent, Math.floor(0.75 * earned));
     while (send(budget, 0)) sent += 1;
     assert.equal(sent, Math.floor(earned));
--- a/src/core/routing/affinity_choice_test.ts
+++ b/src/core/routing/affinity_choice_test.ts
@@ -85,9 +85,9 @@
     const first = choose();
     const second = choose({ tried: new Set([first as InstanceId]) });
     assert.notEqual(second, first);
-    loads.unreachable(first as InstanceId, 0);
+    loads.recordUnreachable(first as InstanceId, 0);
     assert.equal(choose(), second);
-    for (const { instance } of SERVERS) loads.unreachable(instance, 0);
+    for (const { instance } of SERVERS) loads.recordUnreachable(instance, 0);
     assert.equal(choose(), first);
   });
 
--- a/src/core/routing/herd_test.ts
+++ b/src/core/routing/herd_test.ts
@@ -60,7 +60,7 @@
   ]));
   for (const vm of vms) {
     for (const { instance } of SERVERS) vm.end(instance, Infinity);
-    vm.setElsewhere(reports);
+    vm.setPeerReports(reports);
   }
 }
 
--- a/src/core/routing/limit_admission.ts
+++ b/src/core/routing/limit_admission.ts
@@ -7,7 +7,10 @@
 import type { EntryId, InstanceId } from "../ids.ts";
 import type { Member } from "../membership/member.ts";
 import type { ServerLimits } from "../servers/server_limits.ts";
-import { isLaterLife, type ServerLifeKey } from "../servers/server_record.ts";
+import {
+  isLaterIncarnation,
+  type ServerIncarnationKey,
+} from "../servers/server_record.ts";
 import {
   type UnackedAttempts,
   UNRESPONSIVE_MS,
@@ -54,7 +57,7 @@
 
 /** What is kept of a server that has a limit. */
 interface Bucket {
-  life: ServerLifeKey;
+  life: ServerIncarnationKey;
   isOwner: boolean;
   /** Requests that may be sent now, as an owner. */
   tokens: number;
@@ -103,7 +106,7 @@
   }
 
   /** Whether a server takes a request of this VM now. */
-  isOpen(server: ServerLifeKey): boolean {
+  isOpen(server: ServerIncarnationKey): boolean {
     const part = this.#partOf(server);
     if (part === undefined) return true;
     const bucket = this.#bucket(server, part);
@@ -111,7 +114,7 @@
   }
 
   /** Milliseconds until a server may take a request of this VM; 0 where it does. */
-  opensInMs(server: ServerLifeKey): number {
+  opensInMs(server: ServerIncarnationKey): number {
     const part = this.#partOf(server);
     if (part === undefined || this.isOpen(server)) return 0;
     const bucket = this.#bucket(server, part);
@@ -127,7 +130,7 @@
   }
 
   /** Gives a request a place that was chosen for a server. */
-  reserve(server: ServerLifeKey): SendPlace {
+  reserve(server: ServerIncarnationKey): SendPlace {
     const part = this.#partOf(server);
     // A server may name a limit while the connection comes up.
     if (part === undefined) {
@@ -148,7 +151,7 @@
   }
 
   /** Lends a place to another VM, out of what this one may send. */
-  lend(server: ServerLifeKey): Lent {
+  lend(server: ServerIncarnationKey): Lent {
     const part = this.#partOf(server);
     // What is not limited as known here is nothing to lend of: news of it is on its way.
     if (part === undefined) return { granted: false, opensInMs: LOAN_MS };
@@ -165,7 +168,7 @@
   }
 
   /** Other owners that may be asked for a place now. */
-  lenders(server: ServerLifeKey): readonly EntryId[] {
+  lenders(server: ServerIncarnationKey): readonly EntryId[] {
     const part = this.#partOf(server);
     if (part === undefined) return [];
     const { askAgainMs } = this.#bucket(server, part);
@@ -181,7 +184,7 @@
 
   /** Takes in the answer of an owner that was asked for a place. */
   borrowed(
-    server: ServerLifeKey,
+    server: ServerIncarnationKey,
     { owner, granted, opensInMs }: Lent & { owner: EntryId },
   ): void {
     const part = this.#partOf(server);
@@ -198,7 +201,7 @@
     this.#owners.forget(instance);
   }
 
-  #takeUnreserved(server: ServerLifeKey): boolean {
+  #takeUnreserved(server: ServerIncarnationKey): boolean {
     const part = this.#partOf(server);
     if (part === undefined) return true;
     const bucket = this.#bucket(server, part);
@@ -208,8 +211,8 @@
     return true;
   }
 
-  #partOf(server: ServerLifeKey): LimitPart | undefined {
-    const limitPerS = this.#limits.of(server);
+  #partOf(server: ServerIncarnationKey): LimitPart | undefined {
+    const limitPerS = this.#limits.get(server);
     if (limitPerS === undefined) {
       // A limit that begins anew finds nothing saved.
       this.#buckets.delete(server.instance);
@@ -241,7 +244,7 @@
   }
 
   /** What is kept of a server, brought up to date. */
-  #bucket(life: ServerLifeKey, part: LimitPart): Bucket {
+  #bucket(life: ServerIncarnationKey, part: LimitPart): Bucket {
     const nowMs = this.#clock.monotonicMs();
     const { instance } = life;
     const isOwner = this.#owners.isOwner(instance, {
@@ -249,7 +252,7 @@
       nowMs,
     });
     const known = this.#buckets.get(instance);
-    if (known === undefined || isLaterLife(life, known.life)) {
+    if (known === undefined || isLaterIncarnation(life, known.life)) {
       const bucket = newBucket(life, { isOwner, nowMs });
       this.#buckets.set(instance, bucket);
       return bucket;
@@ -272,7 +275,7 @@
   }
 
   /** What a stopped server has not read arrives as it goes on, beside what it is sent then. */
-  #mayHaveStopped(life: ServerLifeKey): boolean {
+  #mayHaveStopped(life: ServerIncarnationKey): boolean {
     const nowMs = this.#clock.monotonicMs();
     const { oldestMs, newestMs } = this.#unacked.state(life, nowMs);
     return oldestMs >= UNRESPONSIVE_MS && newestMs < PROBE_MS;
@@ -285,7 +288,7 @@
 }
 
 function newBucket(
-  life: ServerLifeKey,
+  life: ServerIncarnationKey,
   { isOwner, nowMs }: { isOwner: boolean; nowMs: number },
 ): Bucket {
   return {
--- a/src/core/routing/limit_admission_test.ts
+++ b/src/core/routing/limit_admission_test.ts
@@ -82,7 +82,7 @@
   }
 
   hear(limitPerS: number | undefined): void {
-    this.limits.hear({ life: SERVER, limitPerS, atMs: nowMs });
+    this.limits.receive({ life: SERVER, limitPerS, atMs: nowMs });
   }
 
   /** Sends one request if it may; returns whether it did. */
@@ -105,10 +105,10 @@
   /** Takes a request that a VM sends now. */
   take({ unacked }: Vm): void {
     const sentMs = nowMs;
-    unacked.sent(SERVER, { nowMs, onAcked: () => {} });
+    unacked.recordSent(SERVER, { nowMs, onAcked: () => {} });
     this.#unread.push(() => {
       this.arrivedMs.push(nowMs);
-      unacked.answered(SERVER, sentMs);
+      unacked.recordAnswer(SERVER, sentMs);
     });
     this.readOn();
   }
@@ -345,7 +345,7 @@
     vm?.hear(1);
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
-    vm?.limits.namesNone(SERVER, nowMs);
+    vm?.limits.receiveNoLimit(SERVER, nowMs);
     assert.equal(vm?.admission.isOpen(SERVER), true);
     nowMs += 5_000;
     vm?.hear(1);
--- a/src/core/routing/limit_lending_test.ts
+++ b/src/core/routing/limit_lending_test.ts
@@ -91,7 +91,7 @@
     const { limitPerS, busy } = this.#play;
     const endMs = this.nowMs + PRESSED_MS;
     for (const limits of this.#limits) {
-      limits.hear({ life: SERVER, limitPerS, atMs: this.nowMs });
+      limits.receive({ life: SERVER, limitPerS, atMs: this.nowMs });
     }
     const pressed = [...this.#vms].slice(0, Math.ceil(busy * this.#vms.size));
     for (; this.nowMs < endMs; this.nowMs += STEP_MS) {
--- a/src/core/servers/cold_servers.ts
+++ b/src/core/servers/cold_servers.ts
@@ -11,7 +11,7 @@
    * that is latest holds: a server is taken as cold for too long rather than for too short.
    * Returns whether it was taken as warm before.
    */
-  note(
+  markCold(
     instance: InstanceId,
     { leftMs, nowMs }: { leftMs: number; nowMs: number },
   ): boolean {
--- a/src/core/servers/cold_servers_test.ts
+++ b/src/core/servers/cold_servers_test.ts
@@ -8,7 +8,7 @@
 describe("cold servers", () => {
   it("should take a server as cold for as long as it tells", () => {
     const servers = new ColdServers();
-    assert.equal(servers.note(SERVER, { leftMs: 3_000, nowMs: 100 }), true);
+    assert.equal(servers.markCold(SERVER, { leftMs: 3_000, nowMs: 100 }), true);
     assert.equal(servers.leftMs(SERVER, 1_100), 2_000);
     assert.equal(servers.leftMs(SERVER, 3_100), 0);
     assert.equal(servers.count(3_100), 0);
@@ -16,16 +16,22 @@
 
   it("should not take a server as warm by word from before it turned cold", () => {
     const servers = new ColdServers();
-    servers.note(SERVER, { leftMs: 3_000, nowMs: 0 });
-    assert.equal(servers.note(SERVER, { leftMs: 0, nowMs: 1_000 }), false);
-    assert.equal(servers.note(SERVER, { leftMs: 500, nowMs: 1_000 }), false);
+    servers.markCold(SERVER, { leftMs: 3_000, nowMs: 0 });
+    assert.equal(servers.markCold(SERVER, { leftMs: 0, nowMs: 1_000 }), false);
+    assert.equal(
+      servers.markCold(SERVER, { leftMs: 500, nowMs: 1_000 }),
+      false,
+    );
     assert.equal(servers.leftMs(SERVER, 1_000), 2_000);
   });
 
   it("should take a server as cold anew that has turned cold again", () => {
     const servers = new ColdServers();
-    servers.note(SERVER, { leftMs: 3_000, nowMs: 0 });
-    assert.equal(servers.note(SERVER, { leftMs: 3_000, nowMs: 10_000 }), true);
+    servers.markCold(SERVER, { leftMs: 3_000, nowMs: 0 });
+    assert.equal(
+      servers.markCold(SERVER, { leftMs: 3_000, nowMs: 10_000 }),
+      true,
+    );
     assert.equal(servers.count(10_000), 1);
   });
 });
--- a/src/core/servers/read_pace.ts
+++ b/src/core/servers/prefill_time_estimator.ts
@@ -19,7 +19,7 @@
 const RENEW_EVERY = 4;
 
 /** A first token that has come. */
-export interface ReadSample {
+export interface PrefillSample {
   readonly service: ServiceId;
   readonly model: ModelId;
   /** Prompt tokens that the server must have read: those not shared with others. */
@@ -35,11 +35,11 @@
 }
 
 /** Paces by service and model. */
-export class ReadPace {
+export class PrefillTimeEstimator {
   readonly #rows = new Map<string, Row>();
 
   /** Takes in how long a first token took. */
-  observe({ service, model, tokens, elapsedMs }: ReadSample): void {
+  observe({ service, model, tokens, elapsedMs }: PrefillSample): void {
     if (tokens < MIN_TOKENS) return;
     const row = this.#row(service, model);
     row.msPerToken[row.count % REMEMBERED] = Math.max(0, elapsedMs - BASE_MS) /
--- a/src/core/servers/read_pace_test.ts
+++ b/src/core/servers/prefill_time_estimator_test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { ModelId, ServiceId } from "../ids.ts";
-import { ReadPace } from "./read_pace.ts";
+import { PrefillTimeEstimator } from "./prefill_time_estimator.ts";
 
 const SERVICE = "inspect" as ServiceId;
 const SMALL = "m0" as ModelId;
 
 function pace(samples: readonly { tokens: number; elapsedMs: number }[]) {
-  const learnt = new ReadPace();
+  const learnt = new PrefillTimeEstimator();
   for (const sample of samples) {
     learnt.observe({ service: SERVICE, model: SMALL, ...sample });
   }
--- a/src/core/servers/server_directory.ts
+++ b/src/core/servers/server_directory.ts
@@ -2,8 +2,8 @@
 
 import type { DataCentreId, InstanceId, ServiceId } from "../ids.ts";
 import {
-  isLaterLife,
-  type ServerLifeKey,
+  isLaterIncarnation,
+  type ServerIncarnationKey,
   type ServerRecord,
 } from "./server_record.ts";
 
@@ -52,11 +52,11 @@
   /** Whether calls of the store work now. */
   readonly reachable: boolean;
   /** When the store last came back, by the monotonic clock; undefined if it never left. */
-  readonly backSinceMs: number | undefined;
+  readonly recoveredAtMs: number | undefined;
 }
 
 /** A life of a server that has said that it leaves. */
-export interface LeavingLife {
+export interface LeavingServer {
   readonly instance: InstanceId;
   readonly bornMs: number;
 }
@@ -69,7 +69,7 @@
    * Lives that have said that they leave. Kept apart from rows: a list that lags may name such a
    * server as ready for long, drop it and name it again.
    */
-  readonly #leaving = new Map<InstanceId, ServerLifeKey>();
+  readonly #leaving = new Map<InstanceId, ServerIncarnationKey>();
   #byService = new Map<ServiceId, ServerRecord[]>();
 
   /** Servers of a service that take new work. */
@@ -78,7 +78,7 @@
   }
 
   /** Number of addresses at which a service has servers, whether or not they take new work. */
-  addressesOf(service: ServiceId): number {
+  addressCountOf(service: ServiceId): number {
     const addresses = [...this.#rows.values()]
       .filter(({ record }) => record.service === service)
       .map(({ record }) => record.address);
@@ -129,7 +129,7 @@
   put(told: ServerRecord): DirectoryChange[] {
     const row = this.#rows.get(told.instance);
     // News of an earlier life may come late, by a stale read or another VM.
-    if (row !== undefined && isLaterLife(row.record, told)) return [];
+    if (row !== undefined && isLaterIncarnation(row.record, told)) return [];
     const record = { ...told, bornMs: told.bornMs ?? row?.record.bornMs };
     this.#rows.set(record.instance, {
       record,
@@ -138,7 +138,7 @@
     });
     this.#rebuild();
     if (row === undefined) return [{ tag: "added", server: record }];
-    if (isLaterLife(record, row.record)) {
+    if (isLaterIncarnation(record, row.record)) {
       return [
         { tag: "removed", server: row.record, reason: "restarted" },
         { tag: "added", server: record },
@@ -168,7 +168,7 @@
    * Notes that the entry of a server is there, but no longer names one. Unlike one that is
    * missing after an outage, it is not waited for.
    */
-  unreadable(instance: InstanceId): DirectoryChange[] {
+  markUnreadable(instance: InstanceId): DirectoryChange[] {
     const row = this.#rows.get(instance);
     return row === undefined ? [] : this.#drop(row, "unreadable");
   }
@@ -187,7 +187,7 @@
   }
 
   /** Gives up on servers that were not listed again in time. */
-  expire(
+  removeExpired(
     { health, nowMs }: { health: StoreHealth; nowMs: number },
   ): DirectoryChange[] {
     if (mayBeRelisted(health, nowMs)) return [];
@@ -200,11 +200,13 @@
    * Notes that a server has said that it leaves. It gets no new work in this life any more,
    * whatever its entry says; what runs there goes on.
    */
-  leaves({ instance, bornMs }: ServerLifeKey): DirectoryChange[] {
+  markLeaving({ instance, bornMs }: ServerIncarnationKey): DirectoryChange[] {
     const row = this.#rows.get(instance);
-    if (row !== undefined && isLaterLife(row.record, { bornMs })) return [];
+    if (row !== undefined && isLaterIncarnation(row.record, { bornMs })) {
+      return [];
+    }
     const said = this.#leaving.get(instance);
-    if (said !== undefined && !isLaterLife({ bornMs }, said)) return [];
+    if (said !== undefined && !isLaterIncarnation({ bornMs }, said)) return [];
     this.#leaving.set(instance, { instance, bornMs });
     this.#boundLeaving();
     if (row === undefined) return [];
@@ -216,7 +218,7 @@
    * Lives of known servers that have said that they leave. One without a birth is not told of:
    * it could not be told from what comes under its id later.
    */
-  leavingLives(): LeavingLife[] {
+  leavingServers(): LeavingServer[] {
     return [...this.#leaving.values()].flatMap(({ instance, bornMs }) =>
       bornMs === undefined || !this.#rows.has(instance)
         ? []
@@ -240,7 +242,7 @@
 
   #isLeaving(record: ServerRecord): boolean {
     const said = this.#leaving.get(record.instance);
-    return said !== undefined && !isLaterLife(record, said);
+    return said !== undefined && !isLaterIncarnation(record, said);
   }
 
   #boundLeaving(): void {
@@ -274,6 +276,7 @@
 
 function mayBeRelisted(health: StoreHealth, nowMs: number): boolean {
   if (!health.reachable) return true;
-  const { backSinceMs } = health;
-  return backSinceMs !== undefined && nowMs - backSinceMs < RELISTING_GRACE_MS;
+  const { recoveredAtMs } = health;
+  return recoveredAtMs !== undefined &&
+    nowMs - recoveredAtMs < RELISTING_GRACE_MS;
 }
--- a/src/core/servers/server_directory_test.ts
+++ b/src/core/servers/server_directory_test.ts
@@ -5,8 +5,8 @@
 import { serverRecord } from "../../../tests/fixtures/server_record.ts";
 
 const SERVICE = "tracker" as ServiceId;
-const HEALTHY = { reachable: true, backSinceMs: undefined };
-const AWAY = { reachable: false, backSinceMs: undefined };
+const HEALTHY = { reachable: true, recoveredAtMs: undefined };
+const AWAY = { reachable: false, recoveredAtMs: undefined };
 
 function namesOf(directory: ServerDirectory): string[] {
   return directory.usable(SERVICE).map(({ instance }) => instance).sort();
@@ -35,12 +35,18 @@
       health: HEALTHY,
       nowMs: 0,
     });
-    const back = { reachable: true, backSinceMs: 10_000 };
+    const back = { reachable: true, recoveredAtMs: 10_000 };
     directory.replaceAll([serverRecord("b")], { health: back, nowMs: 10_000 });
     assert.deepEqual(namesOf(directory), ["a", "b"]);
-    directory.expire({ health: back, nowMs: 10_000 + RELISTING_GRACE_MS - 1 });
+    directory.removeExpired({
+      health: back,
+      nowMs: 10_000 + RELISTING_GRACE_MS - 1,
+    });
     assert.deepEqual(namesOf(directory), ["a", "b"]);
-    directory.expire({ health: back, nowMs: 10_000 + RELISTING_GRACE_MS });
+    directory.removeExpired({
+      health: back,
+      nowMs: 10_000 + RELISTING_GRACE_MS,
+    });
     assert.deepEqual(namesOf(directory), ["b"]);
   });
 
@@ -48,7 +54,7 @@
     const directory = new ServerDirectory();
     directory.put(serverRecord("a"));
     directory.remove("a" as InstanceId, { health: AWAY, nowMs: 5_000 });
-    directory.expire({ health: AWAY, nowMs: 60_000 });
+    directory.removeExpired({ health: AWAY, nowMs: 60_000 });
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
@@ -135,9 +141,9 @@
     const server = serverRecord("a", { bornMs: 5 });
     directory.put(server);
     directory.put(serverRecord("b"));
-    const [change] = directory.leaves(server);
+    const [change] = directory.markLeaving(server);
     assert.equal(change?.tag === "removed" && change.reason, "leaving");
-    assert.deepEqual(directory.leaves(server), []);
+    assert.deepEqual(directory.markLeaving(server), []);
     // The list lags, lapses and returns, and says nothing of its birth.
     directory.put({ ...server, slots: 9 });
     directory.remove(server.instance, { health: HEALTHY, nowMs: 10_000 });
@@ -152,11 +158,11 @@
     const directory = new ServerDirectory();
     const server = serverRecord("a", { bornMs: 5 });
     directory.put(server);
-    directory.leaves(server);
+    directory.markLeaving(server);
     directory.put({ ...server, bornMs: 6 });
     assert.deepEqual(namesOf(directory), ["a"]);
     // Late word of the life before.
-    assert.deepEqual(directory.leaves(server), []);
+    assert.deepEqual(directory.markLeaving(server), []);
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
@@ -164,7 +170,7 @@
     const directory = new ServerDirectory();
     const server = serverRecord("a");
     directory.put(server);
-    directory.leaves(server);
+    directory.markLeaving(server);
     directory.put({ ...server, slots: 9 });
     assert.deepEqual(namesOf(directory), []);
     directory.remove(server.instance, { health: HEALTHY, nowMs: 10_000 });
--- a/src/core/servers/server_limits.ts
+++ b/src/core/servers/server_limits.ts
@@ -1,7 +1,10 @@
 /** Which backend servers take only so many requests a second from all VMs, as they have said. */
 
 import type { InstanceId } from "../ids.ts";
-import { isLaterLife, type ServerLifeKey } from "./server_record.ts";
+import {
+  isLaterIncarnation,
+  type ServerIncarnationKey,
+} from "./server_record.ts";
 
 /** A limit that has ended is remembered for so long, so that older news does not bring it back. */
 const REMEMBER_ENDED_MS = 60_000;
@@ -10,7 +13,7 @@
 
 /** What a server has last said of its limit. */
 export interface LimitNotice {
-  readonly life: ServerLifeKey;
+  readonly life: ServerIncarnationKey;
   /** Requests a second from all VMs; undefined where it has said that there is none any more. */
   readonly limitPerS: number | undefined;
   /** When it was heard, by the monotonic clock. */
@@ -22,17 +25,17 @@
   readonly #notices = new Map<InstanceId, LimitNotice>();
 
   /** Takes in a notice; returns whether the limit has changed by it. */
-  hear(notice: LimitNotice): boolean {
+  receive(notice: LimitNotice): boolean {
     const { life, limitPerS, atMs } = notice;
     const stored = this.#notices.get(life.instance);
     if (stored === undefined) {
       this.#notices.set(life.instance, notice);
       return limitPerS !== undefined;
     }
-    if (isLaterLife(stored.life, life)) return false;
+    if (isLaterIncarnation(stored.life, life)) return false;
     const isOlder = atMs < stored.atMs ||
       (atMs === stored.atMs && limitPerS === undefined);
-    if (isOlder && !isLaterLife(life, stored.life)) return false;
+    if (isOlder && !isLaterIncarnation(life, stored.life)) return false;
     this.#notices.set(life.instance, notice);
     return stored.limitPerS !== limitPerS;
   }
@@ -42,23 +45,23 @@
    * has ended by it. An answer to a request that was sent before the limit was last heard may be
    * older than that.
    */
-  namesNone(life: ServerLifeKey, sentMs: number): boolean {
-    if (this.of(life) === undefined) return false;
-    return this.hear({ life, limitPerS: undefined, atMs: sentMs });
+  receiveNoLimit(life: ServerIncarnationKey, sentMs: number): boolean {
+    if (this.get(life) === undefined) return false;
+    return this.receive({ life, limitPerS: undefined, atMs: sentMs });
   }
 
   /** The limit of a server, in requests a second; undefined where it has none. */
-  of(life: ServerLifeKey): number | undefined {
+  get(life: ServerIncarnationKey): number | undefined {
     const notice = this.#notices.get(life.instance);
     // An earlier life has named it.
-    if (notice === undefined || isLaterLife(life, notice.life)) {
+    if (notice === undefined || isLaterIncarnation(life, notice.life)) {
       return undefined;
     }
     return notice.limitPerS;
   }
 
   /** When the limit of a server has ended; undefined where it has one, or had none lately. */
-  endedMs(life: ServerLifeKey): number | undefined {
+  endedAtMs(life: ServerIncarnationKey): number | undefined {
     const notice = this.#notices.get(life.instance);
     return notice === undefined || notice.limitPerS !== undefined
       ? undefined
--- a/src/core/servers/server_limits_test.ts
+++ b/src/core/servers/server_limits_test.ts
@@ -16,46 +16,49 @@
 
 function limited(): ServerLimits {
   const limits = new ServerLimits();
-  limits.hear(NAMED);
+  limits.receive(NAMED);
   return limits;
 }
 
 describe("limits of servers", () => {
   it("should be those that servers have named last", () => {
     const limits = limited();
-    assert.equal(limits.of(SERVER), 2);
-    assert.equal(limits.hear({ ...NAMED, limitPerS: 0, atMs: 1_100 }), true);
-    assert.equal(limits.hear({ ...NAMED, limitPerS: 6, atMs: 1_050 }), false);
-    assert.equal(limits.of(SERVER), 0);
+    assert.equal(limits.get(SERVER), 2);
+    assert.equal(limits.receive({ ...NAMED, limitPerS: 0, atMs: 1_100 }), true);
+    assert.equal(
+      limits.receive({ ...NAMED, limitPerS: 6, atMs: 1_050 }),
+      false,
+    );
+    assert.equal(limits.get(SERVER), 0);
     assert.equal(limits.count(1_100), 1);
   });
 
   it("should end by an answer without one, if its request was sent since", () => {
     const limits = limited();
-    assert.equal(limits.namesNone(SERVER, 999), false);
-    assert.equal(limits.namesNone(SERVER, 1_000), false);
-    assert.equal(limits.of(SERVER), 2);
-    assert.equal(limits.namesNone(SERVER, 1_001), true);
-    assert.equal(limits.of(SERVER), undefined);
-    assert.equal(limits.namesNone(SERVER, 1_002), false);
+    assert.equal(limits.receiveNoLimit(SERVER, 999), false);
+    assert.equal(limits.receiveNoLimit(SERVER, 1_000), false);
+    assert.equal(limits.get(SERVER), 2);
+    assert.equal(limits.receiveNoLimit(SERVER, 1_001), true);
+    assert.equal(limits.get(SERVER), undefined);
+    assert.equal(limits.receiveNoLimit(SERVER, 1_002), false);
   });
 
   it("should not come back by older news", () => {
     const limits = limited();
-    limits.namesNone(SERVER, 1_500);
-    assert.equal(limits.hear({ ...NAMED, atMs: 1_400 }), false);
-    assert.equal(limits.of(SERVER), undefined);
-    assert.equal(limits.hear({ ...NAMED, atMs: 1_600 }), true);
+    limits.receiveNoLimit(SERVER, 1_500);
+    assert.equal(limits.receive({ ...NAMED, atMs: 1_400 }), false);
+    assert.equal(limits.get(SERVER), undefined);
+    assert.equal(limits.receive({ ...NAMED, atMs: 1_600 }), true);
   });
 
   it("should not be taken over by a later life, nor by news of an earlier one", () => {
     const limits = limited();
-    assert.equal(limits.of(REBORN), undefined);
-    assert.equal(limits.namesNone(REBORN, 2_000), false);
-    limits.hear({ life: REBORN, limitPerS: 7, atMs: 900 });
-    assert.equal(limits.of(REBORN), 7);
-    assert.equal(limits.hear({ ...NAMED, atMs: 3_000 }), false);
-    assert.equal(limits.of(REBORN), 7);
+    assert.equal(limits.get(REBORN), undefined);
+    assert.equal(limits.receiveNoLimit(REBORN, 2_000), false);
+    limits.receive({ life: REBORN, limitPerS: 7, atMs: 900 });
+    assert.equal(limits.get(REBORN), 7);
+    assert.equal(limits.receive({ ...NAMED, atMs: 3_000 }), false);
+    assert.equal(limits.get(REBORN), 7);
   });
 
   it("should be forgotten once nothing was heard of them for long", () => {
@@ -79,9 +82,9 @@
         );
         const items = [...byMoment.values()];
         const [first, second] = [new ServerLimits(), new ServerLimits()];
-        for (const item of items) first.hear(item);
-        for (const item of items.reverse()) second.hear(item);
-        assert.equal(first.of(REBORN), second.of(REBORN));
+        for (const item of items) first.receive(item);
+        for (const item of items.reverse()) second.receive(item);
+        assert.equal(first.get(REBORN), second.get(REBORN));
       }),
     );
   });
--- a/src/core/servers/server_loads.ts
+++ b/src/core/servers/server_loads.ts
@@ -1,7 +1,7 @@
 /** What this VM has under way at each backend server, and how they have done lately. */
 
 import type { InstanceId } from "../ids.ts";
-import { RecentAnswers } from "./recent_answers.ts";
+import { RecentAnswers } from "./decaying_answer_counts.ts";
 import type { ServerReport } from "./server_report.ts";
 
 /** Failures in a row after which a server is avoided. */
@@ -62,13 +62,13 @@
   }
 
   /** Notes that part of a request's work is done. */
-  lighten(instance: InstanceId, work: number): void {
+  reduceWork(instance: InstanceId, work: number): void {
     const row = this.#row(instance);
     row.work = Math.max(0, row.work - work);
   }
 
   /** Takes in what all other VMs together have told, instead of what they told before. */
-  setElsewhere(reports: ReadonlyMap<InstanceId, ServerReport>): void {
+  setPeerReports(reports: ReadonlyMap<InstanceId, ServerReport>): void {
     for (const row of this.#rows.values()) row.elsewhere = undefined;
     for (const [instance, report] of reports) {
       this.#row(instance).elsewhere = report;
@@ -88,14 +88,14 @@
   }
 
   /** What this VM has to tell of servers. */
-  ownReports(nowMs: number): ServerReport[] {
+  localReports(nowMs: number): ServerReport[] {
     return [...this.#rows]
       .map(([instance, row]) => reportOf(instance, { row, nowMs }))
       .filter(({ workMs, answers }) => workMs > 0 || answers > WORTH_TELLING);
   }
 
   /** Notes a good answer. */
-  succeeded(instance: InstanceId, nowMs: number): void {
+  recordSuccess(instance: InstanceId, nowMs: number): void {
     const row = this.#row(instance);
     row.recent.note(false, nowMs);
     fade(row, nowMs);
@@ -105,16 +105,16 @@
   }
 
   /** Notes a failure; returns for how long the server is avoided from now on, if it is. */
-  failed(instance: InstanceId, nowMs: number): number | undefined {
+  recordFailure(instance: InstanceId, nowMs: number): number | undefined {
     this.#row(instance).recent.note(true, nowMs);
-    return this.turnedAway(instance, nowMs);
+    return this.recordRejection(instance, nowMs);
   }
 
   /**
    * Notes that a server has not run a request, as when it is full. Other VMs are not told:
    * they see the work that is under way there. Returns as `failed` does.
    */
-  turnedAway(instance: InstanceId, nowMs: number): number | undefined {
+  recordRejection(instance: InstanceId, nowMs: number): number | undefined {
     const row = this.#row(instance);
     fade(row, nowMs);
     row.failuresInRow += 1;
@@ -126,7 +126,7 @@
   }
 
   /** Avoids a server at once, as when it does not take connections. */
-  unreachable(instance: InstanceId, nowMs: number): number | undefined {
+  recordUnreachable(instance: InstanceId, nowMs: number): number | undefined {
     const row = this.#row(instance);
     row.recent.note(true, nowMs);
     if (row.ejectedUntilMs > nowMs) return undefined;
@@ -149,7 +149,7 @@
   }
 
   /** Forgets a server that is gone. */
-  forget(instance: InstanceId): void {
+  remove(instance: InstanceId): void {
     const row = this.#rows.get(instance);
     if (row !== undefined && row.inFlight === 0) this.#rows.delete(instance);
   }
--- a/src/core/servers/server_loads_test.ts
+++ b/src/core/servers/server_loads_test.ts
@@ -19,7 +19,7 @@
 
 /** Returns for how long the server is avoided after at most three failures. */
 function failUntilAvoided(loads: ServerLoads, nowMs: number): number {
-  const answers = [1, 2, 3].map(() => loads.failed(A, nowMs));
+  const answers = [1, 2, 3].map(() => loads.recordFailure(A, nowMs));
   return answers.find((ejectMs) => ejectMs !== undefined) ?? 0;
 }
 
@@ -35,7 +35,7 @@
 
   it("should forget failures with time, also of a server that gets no requests", () => {
     const loads = new ServerLoads();
-    for (let n = 0; n < 10; n++) loads.failed(A, 0);
+    for (let n = 0; n < 10; n++) loads.recordFailure(A, 0);
     assert.ok(loads.failureRate(A, 0) > 0.5);
     assert.ok(loads.failureRate(A, 20_000) < 0.001);
   });
@@ -43,10 +43,10 @@
   it("should add what other VMs have under way, and replace it", () => {
     const loads = new ServerLoads();
     loads.begin(A, 30);
-    loads.setElsewhere(new Map([[A, report({ workMs: 50 })]]));
+    loads.setPeerReports(new Map([[A, report({ workMs: 50 })]]));
     assert.equal(loads.work(A), 80);
-    loads.lighten(A, 10);
-    loads.setElsewhere(new Map());
+    loads.reduceWork(A, 10);
+    loads.setPeerReports(new Map());
     assert.equal(loads.work(A), 20);
     loads.end(A, 20);
     assert.equal(loads.work(A), 0);
@@ -55,36 +55,36 @@
 
   it("should avoid a server that fails for several VMs, though hardly seen here", () => {
     const loads = new ServerLoads();
-    loads.failed(A, 0);
+    loads.recordFailure(A, 0);
     const failing = report({ answers: 4, failures: 3, witnesses: 3 });
-    loads.setElsewhere(new Map([[A, failing]]));
+    loads.setPeerReports(new Map([[A, failing]]));
     assert.equal(loads.isEjected(A, 0), true);
-    loads.setElsewhere(new Map());
+    loads.setPeerReports(new Map());
     assert.equal(loads.isEjected(A, 0), false);
   });
 
   it("should not avoid a server that fails for one VM only, which may be cut off", () => {
     const loads = new ServerLoads();
     const failing = report({ answers: 9, failures: 9, witnesses: 1 });
-    loads.setElsewhere(new Map([[A, failing]]));
+    loads.setPeerReports(new Map([[A, failing]]));
     assert.equal(loads.isEjected(A, 0), false);
   });
 
   it("should not avoid a server for the failures that all servers have", () => {
     const loads = new ServerLoads();
     const usual = report({ answers: 40, failures: 5, witnesses: 5 });
-    loads.setElsewhere(new Map([[A, usual]]));
+    loads.setPeerReports(new Map([[A, usual]]));
     assert.equal(loads.isEjected(A, 0), false);
   });
 
   it("should tell of servers with work or answers, and not that they were full", () => {
     const loads = new ServerLoads();
-    loads.turnedAway(A, 0);
-    assert.deepEqual(loads.ownReports(0), []);
-    loads.failed(A, 0);
-    assert.deepEqual(loads.ownReports(0), [
+    loads.recordRejection(A, 0);
+    assert.deepEqual(loads.localReports(0), []);
+    loads.recordFailure(A, 0);
+    assert.deepEqual(loads.localReports(0), [
       report({ answers: 1, failures: 1, witnesses: 1 }),
     ]);
-    assert.deepEqual(loads.ownReports(60_000), []);
+    assert.deepEqual(loads.localReports(60_000), []);
   });
 });
--- a/src/core/servers/server_record.ts
+++ b/src/core/servers/server_record.ts
@@ -28,14 +28,14 @@
 }
 
 /** What tells one life of a server from others; without a birth any may be meant. */
-export type ServerLifeKey = Pick<ServerRecord, "instance" | "bornMs">;
+export type ServerIncarnationKey = Pick<ServerRecord, "instance" | "bornMs">;
 
 /**
  * Names one life of a server. One that starts again may keep its id; what it held and ran before
  * is gone. Births are compared with each other only, never with a clock here.
  */
-export function lifeOf(
-  { instance, bornMs }: ServerLifeKey,
+export function incarnationIdOf(
+  { instance, bornMs }: ServerIncarnationKey,
 ): ServerLife {
   return (bornMs === undefined
     ? instance
@@ -43,7 +43,7 @@
 }
 
 /** Whether a record tells of a later life than another one of the same server. */
-export function isLaterLife(
+export function isLaterIncarnation(
   { bornMs }: Pick<ServerRecord, "bornMs">,
   than: Pick<ServerRecord, "bornMs">,
 ): boolean {
--- a/src/core/servers/silence.ts
+++ b/src/core/servers/server_stall_detector.ts
@@ -30,7 +30,7 @@
 const WEIGHT = 0.1;
 
 /** A try that waits for bytes. */
-export interface WaitingTry {
+export interface WaitingAttempt {
   readonly instance: InstanceId;
   /** Stands for requests of the same kind: route and model. */
   readonly kind: string;
@@ -49,7 +49,7 @@
 }
 
 /** Why a try is given up. */
-export type SilenceReason =
+export type StallReason =
   | "server_silent"
   | "no_first_byte"
   | "stream_paused"
@@ -57,22 +57,25 @@
   | "server_restarted";
 
 /** Names a kind of request. */
-export function kindOf(route: RouteId, model: string | undefined): string {
+export function requestKindOf(
+  route: RouteId,
+  model: string | undefined,
+): string {
   return `${route}/${model ?? ""}`;
 }
 
 /** Keeps when servers last spoke, and how long first bytes take. */
-export class SilenceWatch {
+export class ServerStallDetector {
   readonly #spokeMs = new Map<InstanceId, number>();
   readonly #firstByteMs = new Map<string, number>();
 
   /** Notes a byte of a server. */
-  spoke(instance: InstanceId, nowMs: number): void {
+  recordActivity(instance: InstanceId, nowMs: number): void {
     this.#spokeMs.set(instance, nowMs);
   }
 
   /** Notes how long a first byte took. */
-  firstByte(kind: string, ms: number): void {
+  recordFirstByte(kind: string, ms: number): void {
     const known = this.#firstByteMs.get(kind);
     const next = known === undefined ? ms : known + WEIGHT * (ms - known);
     this.#firstByteMs.set(kind, next);
@@ -82,14 +85,14 @@
    * Forgets servers that have not spoken for long, as when some are gone. One that only
    * takes no new work is still at what it has, and must not look as if it had never spoken.
    */
-  forgetLongSilent(nowMs: number): void {
+  removeInactive(nowMs: number): void {
     for (const [instance, spokeMs] of this.#spokeMs) {
       if (nowMs - spokeMs > FORGET_AFTER_MS) this.#spokeMs.delete(instance);
     }
   }
 
   /** Says why a try should be given up now, if it should. */
-  judge(waiting: WaitingTry, nowMs: number): SilenceReason | undefined {
+  detectStall(waiting: WaitingAttempt, nowMs: number): StallReason | undefined {
     const { sentMs, byteMs } = waiting;
     if (this.#quietMs(waiting, nowMs) >= SERVER_SILENT_MS) {
       return "server_silent";
@@ -102,19 +105,19 @@
   }
 
   /** Whether the server of a try should be asked if it still answers. */
-  isQuiet(waiting: WaitingTry, nowMs: number): boolean {
+  needsProbe(waiting: WaitingAttempt, nowMs: number): boolean {
     return this.#quietMs(waiting, nowMs) >= QUIET_MS;
   }
 
   #quietMs(
-    { instance, sentMs, byteMs, askableMs = 0 }: WaitingTry,
+    { instance, sentMs, byteMs, askableMs = 0 }: WaitingAttempt,
     nowMs: number,
   ): number {
     const spokeMs = this.#spokeMs.get(instance) ?? 0;
     return nowMs - Math.max(spokeMs, byteMs ?? sentMs, askableMs);
   }
 
-  #patienceMs({ kind, targetMs = 0, expectedMs }: WaitingTry): number {
+  #patienceMs({ kind, targetMs = 0, expectedMs }: WaitingAttempt): number {
     const usual = this.#firstByteMs.get(kind);
     const byWork = EXPECTED_FACTOR * expectedMs;
     if (usual === undefined) return Math.max(FIRST_BYTE_UNKNOWN_MS, byWork);
--- a/src/core/servers/unacked_attempts.ts
+++ b/src/core/servers/unacked_attempts.ts
@@ -5,7 +5,10 @@
  */
 
 import type { InstanceId } from "../ids.ts";
-import { isLaterLife, type ServerLifeKey } from "./server_record.ts";
+import {
+  isLaterIncarnation,
+  type ServerIncarnationKey,
+} from "./server_record.ts";
 
 /** Age from which an attempt is taken to be lost, in milliseconds. */
 const LOST_MS = 60_000;
@@ -20,7 +23,7 @@
 }
 
 interface ServerAttempts {
-  life: ServerLifeKey;
+  life: ServerIncarnationKey;
   /** In the order in which they were sent. */
   attempts: UnackedAttempt[];
 }
@@ -39,8 +42,8 @@
   readonly #servers = new Map<InstanceId, ServerAttempts>();
 
   /** Notes that the first byte of an attempt leaves; `onAcked` is called once it can't arrive later. */
-  sent(
-    server: ServerLifeKey,
+  recordSent(
+    server: ServerIncarnationKey,
     { nowMs, onAcked }: { nowMs: number; onAcked: () => void },
   ): void {
     this.#of(server).attempts.push({ sentMs: nowMs, onAcked });
@@ -54,29 +57,29 @@
    * Notes that a server has answered something that was sent at `sentMs`. It was running then, and
    * so has read all that had reached it before.
    */
-  answered(server: ServerLifeKey, sentMs: number): void {
+  recordAnswer(server: ServerIncarnationKey, sentMs: number): void {
     const known = this.#servers.get(server.instance);
-    if (known === undefined || isLaterLife(known.life, server)) return;
+    if (known === undefined || isLaterIncarnation(known.life, server)) return;
     this.#ack(server.instance, (one) => one.sentMs <= sentMs);
   }
 
   /** Notes a byte of any answer: its server runs, and has read what it was sent some time before. */
-  heard(server: ServerLifeKey, nowMs: number): void {
-    this.answered(server, nowMs - READ_MS);
+  recordActivity(server: ServerIncarnationKey, nowMs: number): void {
+    this.recordAnswer(server, nowMs - READ_MS);
   }
 
   /** Notes that the connection of an attempt was closed from the other side. */
-  closed({ instance }: ServerLifeKey, sentMs: number): void {
+  recordClosed({ instance }: ServerIncarnationKey, sentMs: number): void {
     this.#ack(instance, (one) => one.sentMs === sentMs);
   }
 
   /** Notes that no process listens at a server's address: its buffers are discarded. */
-  ended({ instance }: ServerLifeKey): void {
+  recordServerExit({ instance }: ServerIncarnationKey): void {
     this.#ack(instance, () => true);
   }
 
   /** What a server has left unacknowledged. */
-  state({ instance }: ServerLifeKey, nowMs: number): UnackedState {
+  state({ instance }: ServerIncarnationKey, nowMs: number): UnackedState {
     const attempts = this.#servers.get(instance)?.attempts ?? [];
     return {
       count: attempts.length,
@@ -86,15 +89,15 @@
   }
 
   /** Whether a server has left an attempt unacknowledged for so long that it may have stopped. */
-  isUnresponsive(server: ServerLifeKey, nowMs: number): boolean {
+  isUnresponsive(server: ServerIncarnationKey, nowMs: number): boolean {
     return this.state(server, nowMs).oldestMs >= UNRESPONSIVE_MS;
   }
 
-  #of(server: ServerLifeKey): ServerAttempts {
+  #of(server: ServerIncarnationKey): ServerAttempts {
     const known = this.#servers.get(server.instance);
     // The buffers of an earlier life were discarded with it.
-    if (known !== undefined && isLaterLife(server, known.life)) {
-      this.ended(server);
+    if (known !== undefined && isLaterIncarnation(server, known.life)) {
+      this.recordServerExit(server);
     }
     const kept = this.#servers.get(server.instance) ??
       { life: server, attempts: [] };
--- a/src/core/servers/unacked_attempts_test.ts
+++ b/src/core/servers/unacked_attempts_test.ts
@@ -12,7 +12,7 @@
 let acked: number[];
 
 function send(nowMs: number, life = LIFE): void {
-  unacked.sent(life, { nowMs, onAcked: () => acked.push(nowMs) });
+  unacked.recordSent(life, { nowMs, onAcked: () => acked.push(nowMs) });
 }
 
 beforeEach(() => {
@@ -23,7 +23,7 @@
 describe("unacknowledged attempts", () => {
   it("should be acknowledged by an answer to what was sent no earlier", () => {
     for (const atMs of [1, 2, 3]) send(atMs);
-    unacked.answered(LIFE, 2);
+    unacked.recordAnswer(LIFE, 2);
     assert.deepEqual(acked, [1, 2]);
     assert.deepEqual(unacked.state(LIFE, 10), {
       count: 1,
@@ -34,17 +34,17 @@
 
   it("should be acknowledged by a byte of the server that comes some time later", () => {
     for (const atMs of [1, 2, 3]) send(atMs);
-    unacked.heard(LIFE, 50);
+    unacked.recordActivity(LIFE, 50);
     assert.deepEqual(acked, []);
-    unacked.heard(LIFE, 102);
+    unacked.recordActivity(LIFE, 102);
     assert.deepEqual(acked, [1, 2]);
   });
 
   it("should be acknowledged where a connection or the server has ended", () => {
     for (const atMs of [1, 2, 3]) send(atMs);
-    unacked.closed(LIFE, 2);
+    unacked.recordClosed(LIFE, 2);
     assert.deepEqual(acked, [2]);
-    unacked.ended(LIFE);
+    unacked.recordServerExit(LIFE);
     assert.deepEqual(acked, [2, 1, 3]);
   });
 
@@ -53,7 +53,7 @@
     send(2, NEXT_LIFE);
     assert.deepEqual(acked, [1]);
     // A late answer of the earlier life.
-    unacked.answered(LIFE, 3);
+    unacked.recordAnswer(LIFE, 3);
     assert.deepEqual(acked, [1]);
   });
 
@@ -86,9 +86,9 @@
         let nowMs = 0;
         let sent = 0;
         for (const { kind, ms, life } of events) {
-          if (kind === "answer") unacked.answered(life, ms);
-          else if (kind === "close") unacked.closed(life, ms);
-          else if (kind === "end") unacked.ended(life);
+          if (kind === "answer") unacked.recordAnswer(life, ms);
+          else if (kind === "close") unacked.recordClosed(life, ms);
+          else if (kind === "end") unacked.recordServerExit(life);
           else {
             nowMs += ms + 1;
             sent += 1;
--- a/src/entry/caller_gate.ts
+++ b/src/entry/caller_gate.ts
@@ -50,7 +50,7 @@
     if (!session.ok) return session;
     const limitMs = this.#deadlineMs(req.headers["fieldrack-deadline-ms"]);
     if (!limitMs.ok) return limitMs;
-    const entered = this.#deps.inFlightLimits.enter(account.value);
+    const entered = this.#deps.inFlightLimits.tryAcquire(account.value);
     if (!entered.ok) return entered;
     return ok({
       requestId,
@@ -64,7 +64,7 @@
   /** Ends a request that was let in. */
   leave(ctx: RequestContext): void {
     ctx.deadline.close();
-    this.#deps.inFlightLimits.leave(ctx.account.id);
+    this.#deps.inFlightLimits.release(ctx.account.id);
   }
 
   #account(keyHash: Sha256): Result<Account, RequestError> {
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -165,7 +165,7 @@
       if (result.tag !== "cut" || result.error.tag !== "stream_cut") {
         return result;
       }
-      if (!this.#deps.retryBudget.spend()) return result;
+      if (!this.#deps.retryBudget.tryWithdraw()) return result;
       cut = result.error;
     }
   }
--- a/src/entry/model_dispatcher.ts
+++ b/src/entry/model_dispatcher.ts
@@ -63,7 +63,7 @@
     const { tried } = input;
     let sentBefore = false;
     let lastError: RequestError | undefined;
-    this.#deps.retryBudget.earn();
+    this.#deps.retryBudget.deposit();
     while (tried.size < MAX_TRIES) {
       const target = this.#nextTarget(input);
       if (!target.ok) return lastError === undefined ? target : fail(lastError);
--- a/src/entry/retry_policy.ts
+++ b/src/entry/retry_policy.ts
@@ -22,10 +22,10 @@
     case "aborted":
       return false;
     case "rejected":
-      return repeatable && isServersFault(err.status) && budget.spend();
+      return repeatable && isServersFault(err.status) && budget.tryWithdraw();
     case "failed":
     case "wrong_answer":
-      return repeatable && budget.spend();
+      return repeatable && budget.tryWithdraw();
   }
 }
 
--- a/src/entry/service_dispatcher.ts
+++ b/src/entry/service_dispatcher.ts
@@ -70,7 +70,7 @@
     const tried = new Set<BackendId>();
     let sentBefore = false;
     let lastError: RequestError | undefined;
-    budget.earn();
+    budget.deposit();
     while (tried.size < MAX_TRIES) {
       const target = this.#nextTarget(req, tried);
       if (!target.ok) return fail(lastError ?? target.error);
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -174,7 +174,7 @@
       ? this.#told.followers()
       : new Set<EntryId>();
     const reports = [
-      ...serverLoads.ownReports(clock.monotonicMs()),
+      ...serverLoads.localReports(clock.monotonicMs()),
       ...this.#told.reportsOf(followers),
     ];
     return {
@@ -196,7 +196,7 @@
     const { serverLoads, evidenceBook, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     const reports = [
-      ...serverLoads.ownReports(nowMs),
+      ...serverLoads.localReports(nowMs),
       ...this.#told.reportsBut(vm).values(),
     ];
     const sinceMs = isNew ? -Infinity : nowMs - SESSION_WINDOW_MS;
@@ -265,7 +265,7 @@
   }
 
   #addUp(): void {
-    this.#deps.serverLoads.setElsewhere(this.#told.reportsBut(undefined));
+    this.#deps.serverLoads.setPeerReports(this.#told.reportsBut(undefined));
   }
 }
 
--- a/src/fleet/digest_keeper_test.ts
+++ b/src/fleet/digest_keeper_test.ts
@@ -75,8 +75,8 @@
         logger: new SilentLogger(),
       }),
       serverFollower: {
-        leaves: (life) => void this.directory.leaves(life),
-        leavingLives: () => this.directory.leavingLives(),
+        leaves: (life) => void this.directory.markLeaving(life),
+        leavingLives: () => this.directory.leavingServers(),
       },
       evidenceBook: this.evidence,
       sessionBook: this.sessions,
@@ -188,13 +188,13 @@
   it("should bring limits of servers to all VMs, and their ends", () => {
     const server = serverRecord(SERVER, { bornMs: 5 });
     const all = [...relays, ...followers];
-    const limits = () => all.map((vm) => vm.limits.of(server));
+    const limits = () => all.map((vm) => vm.limits.get(server));
     const notice = { life: server, limitPerS: 1.5, atMs: nowMs };
-    followers[0]?.limits.hear(notice);
+    followers[0]?.limits.receive(notice);
     for (let n = 0; n < 3; n++) round();
     assert.deepEqual(limits(), all.map(() => 1.5));
     nowMs += 100;
-    followers[1]?.limits.namesNone(server, nowMs);
+    followers[1]?.limits.receiveNoLimit(server, nowMs);
     for (let n = 0; n < 3; n++) round();
     assert.deepEqual(limits(), all.map(() => undefined));
   });
@@ -306,7 +306,7 @@
   it("should reach all VMs, over relays, and VMs that start later", () => {
     const all = [...relays, ...followers];
     for (const vm of all) vm.directory.put(server);
-    followers[0]?.directory.leaves(server);
+    followers[0]?.directory.markLeaving(server);
     for (let n = 0; n < 2; n++) round();
     const late = new Vm("vm-late", { relay: false });
     late.directory.put(server);
@@ -319,11 +319,11 @@
   it("should say nothing of the next life, nor of one without a birth", () => {
     const [first, second] = followers;
     first?.directory.put(server);
-    first?.directory.leaves(server);
+    first?.directory.markLeaving(server);
     second?.directory.put({ ...server, bornMs: 6 });
     const unborn = serverRecord("i-2", { service: SERVICE });
     for (const vm of [first, second]) vm?.directory.put(unborn);
-    first?.directory.leaves(unborn);
+    first?.directory.markLeaving(unborn);
     for (let n = 0; n < 2; n++) round();
     assert.equal(second?.directory.usable(SERVICE).length, 2);
   });
--- a/src/fleet/limit_news.ts
+++ b/src/fleet/limit_news.ts
@@ -5,7 +5,7 @@
   LimitNotice,
   ServerLimits,
 } from "../core/servers/server_limits.ts";
-import { lifeOf } from "../core/servers/server_record.ts";
+import { incarnationIdOf } from "../core/servers/server_record.ts";
 import { MOST_LIMITS, type VmDigest } from "../protocol/digest_schema.ts";
 import { toldAgeMs } from "../protocol/store_schema.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
@@ -62,13 +62,13 @@
     for (const { instance, bornMs, limitPerS, ageMs } of told) {
       const life = { instance, bornMs };
       const notice = { life, limitPerS, atMs: nowMs - ageMs };
-      if (serverLimits.hear(notice)) this.#log.note([{ notice, from }]);
+      if (serverLimits.receive(notice)) this.#log.note([{ notice, from }]);
     }
   }
 
   #logOne({ notice: { life, limitPerS }, from }: Heard): void {
     const { logger } = this.#deps;
-    const server = lifeOf(life);
+    const server = incarnationIdOf(life);
     if (limitPerS === undefined) {
       logger.info("Server names no limit any more", { server, told_by: from });
     } else {
@@ -84,7 +84,7 @@
     this.#deps.logger.info("Many servers name other limits", {
       changes: heard.length,
       limits: heard.map(({ notice: { life, limitPerS } }) =>
-        `${lifeOf(life)} ${limitPerS ?? "none"}`
+        `${incarnationIdOf(life)} ${limitPerS ?? "none"}`
       ).join(","),
     });
   }
--- a/src/fleet/place_borrower.ts
+++ b/src/fleet/place_borrower.ts
@@ -3,7 +3,10 @@
 import type { EntryId } from "../core/ids.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { LimitAdmission } from "../core/routing/limit_admission.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import { placeAnswerSchema } from "../protocol/place_schema.ts";
 import type { VmClients } from "./vm_clients.ts";
 
@@ -90,5 +93,5 @@
 }
 
 function keyOf({ server, owner }: Lender): string {
-  return `${lifeOf(server)}/${owner}`;
+  return `${incarnationIdOf(server)}/${owner}`;
 }
--- a/src/gateway/attempt_acks.ts
+++ b/src/gateway/attempt_acks.ts
@@ -1,7 +1,10 @@
 /** Follows which attempts backend servers have read, and logs those that lay unread for long. */
 
 import type { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -44,7 +47,7 @@
     const sentMs = clock.monotonicMs();
     record.sentMs = sentMs;
     gatewayMetrics.unackedAttempts.inc({ service: server.service });
-    this.#unacked.sent(server, {
+    this.#unacked.recordSent(server, {
       nowMs: sentMs,
       onAcked: () => {
         record.ackedMs = clock.monotonicMs();
@@ -59,24 +62,24 @@
   /** Notes a byte of the answer to an attempt. */
   answered(server: ServerRecord, { sentMs, ackedMs }: TryRecord): void {
     if (sentMs !== undefined && ackedMs === undefined) {
-      this.#unacked.answered(server, sentMs);
+      this.#unacked.recordAnswer(server, sentMs);
     }
-    this.#unacked.heard(server, this.#deps.clock.monotonicMs());
+    this.#unacked.recordActivity(server, this.#deps.clock.monotonicMs());
   }
 
   /** Notes an answer to a probe that was sent at `sentMs`. */
   probed(server: ServerRecord, sentMs: number): void {
-    this.#unacked.answered(server, sentMs);
+    this.#unacked.recordAnswer(server, sentMs);
   }
 
   /** Notes that the connection of an attempt was closed from the other side. */
   closed(server: ServerRecord, { sentMs }: TryRecord): void {
-    if (sentMs !== undefined) this.#unacked.closed(server, sentMs);
+    if (sentMs !== undefined) this.#unacked.recordClosed(server, sentMs);
   }
 
   /** Notes that no process listens at a server's address. */
   ended(server: ServerRecord): void {
-    this.#unacked.ended(server);
+    this.#unacked.recordServerExit(server);
   }
 
   /** Whether a server may have stopped: it reads what it is sent at some later time. */
@@ -92,7 +95,7 @@
   return new BurstLog({
     one: ({ server, ageMs }) =>
       logger.warn("Attempt was acknowledged late", {
-        server: lifeOf(server),
+        server: incarnationIdOf(server),
         service: server.service,
         age_ms: Math.round(ageMs),
       }),
--- a/src/gateway/cold_server_guard.ts
+++ b/src/gateway/cold_server_guard.ts
@@ -32,7 +32,7 @@
     const nowMs = clock.monotonicMs();
     for (const { instance, service } of servers) {
       const { durationMs = 0 } = this.#warmup(service) ?? {};
-      coldServers.note(instance, { leftMs: durationMs, nowMs });
+      coldServers.markCold(instance, { leftMs: durationMs, nowMs });
     }
   }
 
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -6,7 +6,7 @@
 import type { ColdServers } from "../core/servers/cold_servers.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import type { ServerLimits } from "../core/servers/server_limits.ts";
-import type { ServerRests } from "../core/servers/server_rests.ts";
+import type { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import { formatAddress } from "../runtime/address.ts";
 import { listenHttp } from "../runtime/listen.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -37,7 +37,7 @@
   readonly serverFollower: ServerFollower;
   readonly memberTable: MemberTable;
   readonly coldServers: ColdServers;
-  readonly serverRests: ServerRests;
+  readonly serverBackoffs: ServerBackoffs;
   readonly serverLimits: ServerLimits;
   readonly crashBook: CrashBook;
   readonly clock: Clock;
@@ -117,7 +117,7 @@
   /** Brings the gauges up to date: what this VM believes now. */
   #measure(): void {
     const { gatewayMetrics, routingFollower, memberTable } = this.#deps;
-    const { serverDirectory, coldServers, serverRests, serverLimits } =
+    const { serverDirectory, coldServers, serverBackoffs, serverLimits } =
       this.#deps;
     const { crashBook, clock } = this.#deps;
     const { version, ageMs } = routingFollower.confirmation;
@@ -127,9 +127,11 @@
     gatewayMetrics.unreadableServers.set(this.#deps.serverFollower.unreadable);
     gatewayMetrics.evacuatedDataCentres.set(serverDirectory.evacuated.size);
     gatewayMetrics.coldServers.set(coldServers.count(clock.monotonicMs()));
-    gatewayMetrics.restingServers.set(serverRests.count(clock.monotonicMs()));
+    gatewayMetrics.restingServers.set(
+      serverBackoffs.count(clock.monotonicMs()),
+    );
     gatewayMetrics.limitedServers.set(serverLimits.count(clock.monotonicMs()));
-    gatewayMetrics.leavingServers.set(serverDirectory.leavingLives().length);
+    gatewayMetrics.leavingServers.set(serverDirectory.leavingServers().length);
     gatewayMetrics.suspectedRequests.set(crashBook.size);
     gatewayMetrics.poisonRequests.set(crashBook.poison.size);
     gatewayMetrics.members.set(memberTable.others().length);
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -5,7 +5,10 @@
 import type { CrashBook, Standing } from "../core/crashes/crash_book.ts";
 import type { AccountId, ServerLife, ServiceId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import type { CrashNews } from "../fleet/crash_news.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -108,12 +111,12 @@
     return {
       request: identity.key,
       account,
-      life: lifeOf(server),
+      life: incarnationIdOf(server),
       address: server.address,
       after,
       beganMs: record.startedMs + (record.firstByteMs ?? 0),
       endedMs,
-      serviceSize: this.#deps.serverDirectory.addressesOf(service),
+      serviceSize: this.#deps.serverDirectory.addressCountOf(service),
     };
   }
 
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -29,11 +29,11 @@
 import { AffinityChoice } from "../core/routing/affinity_choice.ts";
 import { ColdServers } from "../core/servers/cold_servers.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
-import { SilenceWatch } from "../core/servers/silence.ts";
-import { ReadPace } from "../core/servers/read_pace.ts";
+import { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
+import { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import { ServerLoads } from "../core/servers/server_loads.ts";
 import { ServerLimits } from "../core/servers/server_limits.ts";
-import { ServerRests } from "../core/servers/server_rests.ts";
+import { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
 import { CrashNews } from "../fleet/crash_news.ts";
 import { DigestExchanger } from "../fleet/digest_exchanger.ts";
@@ -107,7 +107,7 @@
   readonly coldServerGuard: ColdServerGuard;
   readonly coldAdmission: ColdAdmission;
   readonly limitAdmission: LimitAdmission;
-  readonly silenceWatch: SilenceWatch;
+  readonly serverStallDetector: ServerStallDetector;
   readonly serverProbe: ServerProbe;
   readonly promptHolders: PromptHolders;
   readonly trialFollower: TrialFollower;
@@ -190,12 +190,12 @@
   container.register({
     serverDirectory: one(ServerDirectory),
     serverLoads: one(ServerLoads),
-    serverRests: asFunction(() => new ServerRests()).singleton(),
+    serverBackoffs: asFunction(() => new ServerBackoffs()).singleton(),
     serverLimits: asFunction(() => new ServerLimits()).singleton(),
     releaseGate: one(ReleaseGate),
     modelPace: one(ModelPace),
-    silenceWatch: one(SilenceWatch),
-    readPace: one(ReadPace),
+    serverStallDetector: one(ServerStallDetector),
+    prefillTimeEstimator: one(PrefillTimeEstimator),
     workPredictor: one(WorkPredictor),
     releaseChoice: one(ReleaseChoice),
     evidenceBook: one(EvidenceBook),
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -55,8 +55,8 @@
       parts.backendConnections.drop(instance);
       parts.coldAdmission.forget(instance);
       parts.limitAdmission.forget(instance);
-      parts.serverLoads.forget(instance);
-      parts.silenceWatch.forgetLongSilent(parts.clock.monotonicMs());
+      parts.serverLoads.remove(instance);
+      parts.serverStallDetector.removeInactive(parts.clock.monotonicMs());
       parts.serverProbe.forget(instance);
       parts.promptHolders.ended(instance, parts.clock.monotonicMs());
     });
--- a/src/gateway/request_crashes.ts
+++ b/src/gateway/request_crashes.ts
@@ -3,7 +3,10 @@
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { Standing } from "../core/crashes/crash_book.ts";
 import type { ServerLife } from "../core/ids.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import { pause } from "../runtime/pause.ts";
 import type { CrashWatch, WatchedRequest } from "./crash_watch.ts";
 import type { TryRecord } from "./try_record.ts";
@@ -67,7 +70,7 @@
     // What this attempt has lost came before, also where word of its end is still to come.
     const after = [...new Set([...this.#ended, ...this.#lost])];
     const broken = { server, record, after };
-    this.#lost.push(lifeOf(server));
+    this.#lost.push(incarnationIdOf(server));
     const known = this.#watch.brokeOff(this.#watched, broken);
     await Promise.race([known, pause(END_WAIT_MS)]);
   }
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -110,7 +110,8 @@
 }
 
 function describeRetryBudget(
-  { left, earned, unread, allowance, held, requests, vms }: RetryBudgetState,
+  { available: left, earned, unacked: unread, allowance, held, requests, vms }:
+    RetryBudgetState,
 ): string {
   return `${left.toFixed(1)} left: ${earned.toFixed(1)} earned, ` +
     `${allowance.toFixed(1)} of the allowance among ${vms ?? "unknown"} VMs, ` +
--- a/src/gateway/retry_permit.ts
+++ b/src/gateway/retry_permit.ts
@@ -34,12 +34,12 @@
 
   /** Whether a permit is held or can be acquired. */
   get isAvailable(): boolean {
-    return this.#isHeld || this.state().left >= 1;
+    return this.#isHeld || this.state().available >= 1;
   }
 
   /** Whether a permit is there that no request needs whose answer would be lost without it. */
   get isSpare(): boolean {
-    return this.state().spare >= 1;
+    return this.state().unreserved >= 1;
   }
 
   /** What the budget of the service stands at. */
@@ -77,7 +77,7 @@
     const retry = this.#sent.shift();
     if (retry === undefined) return;
     const { retryBudget, clock } = this.#deps;
-    retryBudget.arrived(retry, clock.monotonicMs());
+    retryBudget.recordArrival(retry, clock.monotonicMs());
   }
 
   /** Gives back a permit that is held. */
--- a/src/gateway/server_gate.ts
+++ b/src/gateway/server_gate.ts
@@ -6,16 +6,19 @@
   SendPlace,
 } from "../core/routing/limit_admission.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import type { ServerLimits } from "../core/servers/server_limits.ts";
-import type { ServerRests } from "../core/servers/server_rests.ts";
+import type { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { ColdServerGuard } from "./cold_server_guard.ts";
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
-  readonly serverRests: ServerRests;
+  readonly serverBackoffs: ServerBackoffs;
   readonly serverLimits: ServerLimits;
   readonly limitAdmission: LimitAdmission;
   readonly coldServerGuard: ColdServerGuard;
@@ -45,8 +48,8 @@
 
   /** Servers that take a request of this VM now: they do not rest, and their limit has room. */
   open(servers: readonly ServerRecord[]): readonly ServerRecord[] {
-    const { serverRests, serverLimits } = this.#deps;
-    if (serverRests.isEmpty && serverLimits.isEmpty) return servers;
+    const { serverBackoffs, serverLimits } = this.#deps;
+    if (serverBackoffs.isEmpty && serverLimits.isEmpty) return servers;
     return servers.filter((server) =>
       this.#isRested(server) && this.#hasRoom(server)
     );
@@ -64,7 +67,7 @@
   limited(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverLimits } = this.#deps;
     if (serverLimits.isEmpty) return [];
-    return servers.filter((server) => serverLimits.of(server) !== undefined);
+    return servers.filter((server) => serverLimits.get(server) !== undefined);
   }
 
   /**
@@ -72,28 +75,31 @@
    * Questions are requests to a server that rests or counts them.
    */
   askableMs(server: ServerRecord): number | undefined {
-    const { serverLimits, serverRests } = this.#deps;
-    if (serverLimits.of(server) !== undefined) return Infinity;
-    const times = [serverLimits.endedMs(server), serverRests.untilMs(server)]
+    const { serverLimits, serverBackoffs } = this.#deps;
+    if (serverLimits.get(server) !== undefined) return Infinity;
+    const times = [
+      serverLimits.endedAtMs(server),
+      serverBackoffs.untilMs(server),
+    ]
       .filter((atMs) => atMs !== undefined);
     return times.length === 0 ? undefined : Math.max(...times);
   }
 
   /** Whether a request that was chosen for a server may still be sent: asked at its first byte. */
   maySend(server: ServerRecord, place: SendPlace): boolean {
-    const { serverDirectory, serverRests, clock } = this.#deps;
+    const { serverDirectory, serverBackoffs, clock } = this.#deps;
     return serverDirectory.isUsable(server.instance) &&
-      serverRests.leftMs(server, clock.monotonicMs()) === 0 && place.take();
+      serverBackoffs.leftMs(server, clock.monotonicMs()) === 0 && place.take();
   }
 
   /** Counts a request that is about to be sent; returns its place among those of all VMs. */
   sending(server: ServerRecord): SendPlace {
-    const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
+    const { coldServerGuard, serverBackoffs, limitAdmission, clock, logger } =
       this.#deps;
     coldServerGuard.sending(server);
-    if (serverRests.sending(server, clock.monotonicMs())) {
+    if (serverBackoffs.recordSend(server, clock.monotonicMs())) {
       logger.info("Server is used again after its rest", {
-        server: lifeOf(server),
+        server: incarnationIdOf(server),
         service: server.service,
       });
     }
@@ -102,7 +108,7 @@
 
   /** Notes that a server has taken a request that was sent at such a time. */
   took(server: ServerRecord, sentMs: number): void {
-    this.#deps.serverRests.took(server, sentMs);
+    this.#deps.serverBackoffs.recordAccepted(server, sentMs);
   }
 
   /**
@@ -110,11 +116,12 @@
    * where one takes requests now, or where there are none.
    */
   opensInMs(servers: readonly ServerRecord[]): number | undefined {
-    const { serverRests, coldServerGuard, limitAdmission, clock } = this.#deps;
+    const { serverBackoffs, coldServerGuard, limitAdmission, clock } =
+      this.#deps;
     const nowMs = clock.monotonicMs();
     const waitsMs = servers.map((server) =>
       Math.max(
-        serverRests.opensInMs(server, nowMs),
+        serverBackoffs.opensInMs(server, nowMs),
         coldServerGuard.warmInMs(server),
         limitAdmission.opensInMs(server),
       )
@@ -124,9 +131,9 @@
   }
 
   #isRested(server: ServerRecord): boolean {
-    const { serverRests, clock } = this.#deps;
-    return serverRests.isEmpty ||
-      serverRests.opensInMs(server, clock.monotonicMs()) === 0;
+    const { serverBackoffs, clock } = this.#deps;
+    return serverBackoffs.isEmpty ||
+      serverBackoffs.opensInMs(server, clock.monotonicMs()) === 0;
   }
 
   #hasRoom(server: ServerRecord): boolean {
--- a/src/gateway/server_notices.ts
+++ b/src/gateway/server_notices.ts
@@ -3,18 +3,21 @@
 import type { ServerLimits } from "../core/servers/server_limits.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
 import {
-  LONGEST_REST_MS,
-  type ServerRests,
-} from "../core/servers/server_rests.ts";
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
+import {
+  MAX_BACKOFF_MS,
+  type ServerBackoffs,
+} from "../core/servers/server_backoffs.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { ServerFollower } from "../store/server_follower.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 
 interface Deps {
-  readonly serverRests: ServerRests;
+  readonly serverBackoffs: ServerBackoffs;
   readonly serverLimits: ServerLimits;
   readonly serverFollower: ServerFollower;
   readonly serverLoads: ServerLoads;
@@ -52,9 +55,9 @@
   ): void {
     if (limitPerS !== undefined) return;
     const { serverLimits, logger } = this.#deps;
-    if (!serverLimits.namesNone(server, sentMs)) return;
+    if (!serverLimits.receiveNoLimit(server, sentMs)) return;
     logger.info("Server names no limit any more", {
-      server: lifeOf(server),
+      server: incarnationIdOf(server),
       service: server.service,
     });
   }
@@ -64,11 +67,11 @@
       this.#deps;
     const { instance, service } = server;
     gatewayMetrics.limitsNamed.inc({ service });
-    const before = serverLimits.of(server);
+    const before = serverLimits.get(server);
     const atMs = clock.monotonicMs();
-    if (!serverLimits.hear({ life: server, limitPerS, atMs })) return;
+    if (!serverLimits.receive({ life: server, limitPerS, atMs })) return;
     logger.info("Server names a limit", {
-      server: lifeOf(server),
+      server: incarnationIdOf(server),
       service,
       limit_per_s: limitPerS,
       before,
@@ -78,18 +81,18 @@
   }
 
   #asksForRest(server: ServerRecord, restMs: number): void {
-    const { serverRests, serverLoads, gatewayMetrics, clock, logger } =
+    const { serverBackoffs, serverLoads, gatewayMetrics, clock, logger } =
       this.#deps;
     const { instance, service } = server;
     gatewayMetrics.restsAsked.inc({ service });
     const nowMs = clock.monotonicMs();
     // What was on its way is turned away as well, and tells nothing new.
-    if (!serverRests.ask(server, { restMs, nowMs })) return;
+    if (!serverBackoffs.start(server, { restMs, nowMs })) return;
     logger.info("Server asks for rest", {
-      server: lifeOf(server),
+      server: incarnationIdOf(server),
       service,
       asked_ms: Math.round(restMs),
-      kept_ms: Math.round(Math.min(restMs, LONGEST_REST_MS)),
+      kept_ms: Math.round(Math.min(restMs, MAX_BACKOFF_MS)),
       in_flight: serverLoads.inFlight(instance),
       work_ms: Math.round(serverLoads.work(instance)),
     });
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -12,7 +12,7 @@
 import { ServerLoads } from "../core/servers/server_loads.ts";
 import { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
 import { ServerLimits } from "../core/servers/server_limits.ts";
-import { ServerRests } from "../core/servers/server_rests.ts";
+import { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { unitHash } from "../runtime/hashing.ts";
 import { SilentLogger } from "../runtime/logger.ts";
@@ -61,7 +61,7 @@
 describe("choice of a server while some rest", () => {
   let nowMs: number;
   let serverDirectory: ServerDirectory;
-  let serverRests: ServerRests;
+  let serverBackoffs: ServerBackoffs;
   let serverLimits: ServerLimits;
   let limitAdmission: LimitAdmission;
   let sessionBook: SessionBook;
@@ -72,7 +72,7 @@
   beforeEach(() => {
     nowMs = 10_000;
     serverDirectory = new ServerDirectory();
-    serverRests = new ServerRests();
+    serverBackoffs = new ServerBackoffs();
     sessionBook = new SessionBook(60_000);
     serverLoads = new ServerLoads();
     const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
@@ -90,7 +90,7 @@
     nowMs += SETTLED_MS;
     serverGate = new ServerGate({
       serverDirectory,
-      serverRests,
+      serverBackoffs,
       serverLimits,
       limitAdmission,
       coldServerGuard: {
@@ -147,11 +147,13 @@
   }
 
   function rest(server: typeof STABLE): void {
-    serverRests.ask(server, { restMs: REST_MS, nowMs });
+    serverBackoffs.start(server, { restMs: REST_MS, nowMs });
   }
 
   it("should have no way to a server that rests, also where the others have failed", () => {
-    for (let n = 0; n < 3; n++) serverLoads.failed(STABLE.instance, nowMs);
+    for (let n = 0; n < 3; n++) {
+      serverLoads.recordFailure(STABLE.instance, nowMs);
+    }
     rest(TRIAL);
     assert.equal(chosen(), STABLE.instance);
     rest(STABLE);
@@ -192,7 +194,7 @@
 
   it("should pass by a server that has no room, and send what has a place once", () => {
     const limit = { life: STABLE, limitPerS: 1, atMs: nowMs };
-    serverLimits.hear(limit);
+    serverLimits.receive(limit);
     rest(TRIAL);
     // The first request of a part comes after its interval.
     assert.equal(chosen(), undefined);
@@ -206,7 +208,7 @@
     assert.equal(serverGate.maySend(STABLE, serverGate.sending(STABLE)), true);
     assert.equal(chosen(), undefined);
     const endedMs = nowMs + 1;
-    serverLimits.namesNone(STABLE, endedMs);
+    serverLimits.receiveNoLimit(STABLE, endedMs);
     assert.equal(chosen(), STABLE.instance);
     assert.equal(serverGate.askableMs(STABLE), endedMs);
   });
@@ -218,7 +220,7 @@
     assert.equal(serverGate.maySend(STABLE, place), false);
     nowMs += REST_MS;
     assert.equal(serverGate.maySend(STABLE, place), true);
-    serverDirectory.leaves(STABLE);
+    serverDirectory.markLeaving(STABLE);
     assert.equal(serverGate.maySend(STABLE, place), false);
   });
 });
--- a/src/gateway/try_observer.ts
+++ b/src/gateway/try_observer.ts
@@ -6,10 +6,13 @@
 import type { EvidenceBook } from "../core/rollout/evidence.ts";
 import type { SeenSession, SessionBook } from "../core/rollout/session_book.ts";
 import type { PromptHolders } from "../core/routing/prompt_holders.ts";
-import type { ReadPace } from "../core/servers/read_pace.ts";
+import type { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import { kindOf, type SilenceWatch } from "../core/servers/silence.ts";
+import {
+  requestKindOf,
+  type ServerStallDetector,
+} from "../core/servers/server_stall_detector.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -23,8 +26,8 @@
   readonly sessionBook: SessionBook;
   readonly promptHolders: PromptHolders;
   readonly modelPace: ModelPace;
-  readonly silenceWatch: SilenceWatch;
-  readonly readPace: ReadPace;
+  readonly serverStallDetector: ServerStallDetector;
+  readonly prefillTimeEstimator: PrefillTimeEstimator;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -77,17 +80,20 @@
 
   /** A byte of the answer has come. */
   byteCame({ server, service, route, head, record, work }: ObservedTry): void {
-    const { silenceWatch, serverLoads, clock } = this.#deps;
+    const { serverStallDetector, serverLoads, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
-    silenceWatch.spoke(server.instance, nowMs);
+    serverStallDetector.recordActivity(server.instance, nowMs);
     record.byteMs = nowMs;
     if (record.firstByteMs !== undefined) return;
     record.firstByteMs = nowMs - record.startedMs;
     // With the first byte, the prompt has been read.
-    serverLoads.lighten(server.instance, work.readMs);
-    silenceWatch.firstByte(kindOf(route, record.model), record.firstByteMs);
+    serverLoads.reduceWork(server.instance, work.readMs);
+    serverStallDetector.recordFirstByte(
+      requestKindOf(route, record.model),
+      record.firstByteMs,
+    );
     if (record.model === undefined) return;
-    this.#deps.readPace.observe({
+    this.#deps.prefillTimeEstimator.observe({
       service,
       model: record.model,
       tokens: ownTokens(head),
@@ -166,24 +172,24 @@
     switch (outcome.tag) {
       case "streamed":
       case "turned_down":
-        serverLoads.succeeded(instance, nowMs);
+        serverLoads.recordSuccess(instance, nowMs);
         return undefined;
       case "answered":
         if (outcome.head.status >= 500) {
-          return serverLoads.failed(instance, nowMs);
+          return serverLoads.recordFailure(instance, nowMs);
         }
-        serverLoads.succeeded(instance, nowMs);
+        serverLoads.recordSuccess(instance, nowMs);
         return undefined;
       case "not_sent":
-        return serverLoads.unreachable(instance, nowMs);
+        return serverLoads.recordUnreachable(instance, nowMs);
       case "broken":
       case "stream_broken":
-        return serverLoads.failed(instance, nowMs);
+        return serverLoads.recordFailure(instance, nowMs);
       case "not_run":
         // Nothing is guessed where the server has said for how long.
         return outcome.restMs > 0
           ? undefined
-          : serverLoads.turnedAway(instance, nowMs);
+          : serverLoads.recordRejection(instance, nowMs);
       default:
         return undefined;
     }
--- a/src/gateway/try_observer_test.ts
+++ b/src/gateway/try_observer_test.ts
@@ -12,9 +12,9 @@
 import { EvidenceBook } from "../core/rollout/evidence.ts";
 import { SessionBook } from "../core/rollout/session_book.ts";
 import { PromptHolders } from "../core/routing/prompt_holders.ts";
-import { ReadPace } from "../core/servers/read_pace.ts";
+import { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import { ServerLoads } from "../core/servers/server_loads.ts";
-import { SilenceWatch } from "../core/servers/silence.ts";
+import { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { SilentLogger } from "../runtime/logger.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
@@ -47,8 +47,8 @@
     sessionBook,
     promptHolders: new PromptHolders(),
     modelPace: new ModelPace(),
-    silenceWatch: new SilenceWatch(),
-    readPace: new ReadPace(),
+    serverStallDetector: new ServerStallDetector(),
+    prefillTimeEstimator: new PrefillTimeEstimator(),
     clock: { monotonicMs: () => nowMs, wallMs: () => nowMs },
     logger: new SilentLogger(),
   });
--- a/src/gateway/try_sender.ts
+++ b/src/gateway/try_sender.ts
@@ -13,7 +13,7 @@
 import { mayRunAgain } from "../core/routes/route.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import type { SilenceReason } from "../core/servers/silence.ts";
+import type { StallReason } from "../core/servers/server_stall_detector.ts";
 import type { PlaceBorrower } from "../fleet/place_borrower.ts";
 import { encodeBackendRequest } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -298,7 +298,7 @@
   }
 
   /** Gives the try up that is under way, as its server has fallen silent. */
-  leaveSilent(reason: SilenceReason): void {
+  leaveSilent(reason: StallReason): void {
     const streaming = this.#request.exchange.state === "begun";
     this.giveUp({ tag: streaming ? "stream_broken" : "broken", reason });
   }
@@ -307,7 +307,7 @@
   silence(
     { table, route }: Admitted,
     nowMs: number,
-  ): SilenceReason | undefined {
+  ): StallReason | undefined {
     const record = this.#tries.at(-1);
     const server = this.#server;
     if (record === undefined || server === undefined) return undefined;
--- a/src/gateway/try_silence.ts
+++ b/src/gateway/try_silence.ts
@@ -4,14 +4,14 @@
 import type { Route } from "../core/routes/route.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import {
-  isLaterLife,
+  isLaterIncarnation,
   type ServerRecord,
 } from "../core/servers/server_record.ts";
 import {
-  kindOf,
-  type SilenceReason,
-  type SilenceWatch,
-} from "../core/servers/silence.ts";
+  requestKindOf,
+  type ServerStallDetector,
+  type StallReason,
+} from "../core/servers/server_stall_detector.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { ServerGate } from "./server_gate.ts";
@@ -20,7 +20,7 @@
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
-  readonly silenceWatch: SilenceWatch;
+  readonly serverStallDetector: ServerStallDetector;
   readonly serverProbe: ServerProbe;
   readonly serverNotices: ServerNotices;
   readonly attemptAcks: Pick<AttemptAcks, "probed">;
@@ -48,25 +48,25 @@
   judge(
     { server, record, route, hasEngine }: WaitingServer,
     nowMs: number,
-  ): SilenceReason | undefined {
-    const { silenceWatch, serverProbe, serverGate } = this.#deps;
+  ): StallReason | undefined {
+    const { serverStallDetector, serverProbe, serverGate } = this.#deps;
     if (this.#hasRestarted(server)) return "server_restarted";
     const waiting = {
       instance: record.server,
-      kind: kindOf(route.id, record.model),
+      kind: requestKindOf(route.id, record.model),
       sentMs: record.startedMs,
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
       byteMs: record.byteMs,
       askableMs: hasEngine ? serverGate.askableMs(server) : undefined,
     };
-    if (hasEngine && silenceWatch.isQuiet(waiting, nowMs)) {
+    if (hasEngine && serverStallDetector.needsProbe(waiting, nowMs)) {
       serverProbe.ask(
         server,
         (notice) => this.#probed(server, { notice, sentMs: nowMs }),
       );
     }
-    return silenceWatch.judge(waiting, nowMs);
+    return serverStallDetector.detectStall(waiting, nowMs);
   }
 
   #probed(
@@ -80,6 +80,6 @@
 
   #hasRestarted(server: ServerRecord): boolean {
     const listed = this.#deps.serverDirectory.get(server.instance);
-    return listed !== undefined && isLaterLife(listed, server);
+    return listed !== undefined && isLaterIncarnation(listed, server);
   }
 }
--- a/src/gateway/try_silence_test.ts
+++ b/src/gateway/try_silence_test.ts
@@ -9,7 +9,7 @@
 import type { RouteId } from "../core/ids.ts";
 import type { Route } from "../core/routes/route.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
-import { SilenceWatch } from "../core/servers/silence.ts";
+import { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerGate } from "./server_gate.ts";
 import type { ServerNotices } from "./server_notices.ts";
@@ -43,7 +43,7 @@
   asked = 0;
   silence = new TrySilence({
     serverDirectory,
-    silenceWatch: new SilenceWatch(),
+    serverStallDetector: new ServerStallDetector(),
     serverProbe: { ask: () => void (asked += 1) } as unknown as ServerProbe,
     serverNotices: {} as ServerNotices,
     attemptAcks: { probed: () => {} },
--- a/src/gateway/work_predictor.ts
+++ b/src/gateway/work_predictor.ts
@@ -2,7 +2,7 @@
 
 import type { ModelId } from "../core/ids.ts";
 import type { EngineProfile, Service } from "../core/routes/route.ts";
-import type { ReadPace } from "../core/servers/read_pace.ts";
+import type { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 
 /** Prompt tokens that a model server reads in a millisecond, before any was watched. */
@@ -41,10 +41,12 @@
 
 /** Predicts the work of requests by the pace that was learnt. */
 export class WorkPredictor {
-  readonly #readPace: ReadPace;
+  readonly #readPace: PrefillTimeEstimator;
 
-  constructor({ readPace }: { readPace: ReadPace }) {
-    this.#readPace = readPace;
+  constructor(
+    { prefillTimeEstimator }: { prefillTimeEstimator: PrefillTimeEstimator },
+  ) {
+    this.#readPace = prefillTimeEstimator;
   }
 
   /** Predicts the work of a request with one model. */
--- a/src/gateway/work_predictor_test.ts
+++ b/src/gateway/work_predictor_test.ts
@@ -2,7 +2,7 @@
 import { beforeEach, describe, it } from "node:test";
 import type { ModelId, ServiceId } from "../core/ids.ts";
 import type { Service } from "../core/routes/route.ts";
-import { ReadPace } from "../core/servers/read_pace.ts";
+import { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { WorkPredictor } from "./work_predictor.ts";
 
@@ -27,17 +27,17 @@
   "fieldrack-prefix-hash": "aa:4000,bb:2000,cc:2000",
 });
 
-let readPace: ReadPace;
+let prefillTimeEstimator: PrefillTimeEstimator;
 
 function predict(model: ModelId) {
-  return new WorkPredictor({ readPace }).predict(HEAD, {
+  return new WorkPredictor({ prefillTimeEstimator }).predict(HEAD, {
     service: SERVICE,
     model,
   });
 }
 
 beforeEach(() => {
-  readPace = new ReadPace();
+  prefillTimeEstimator = new PrefillTimeEstimator();
 });
 
 describe("prediction of work", () => {
@@ -52,7 +52,7 @@
 
   it("should go by the pace that was learnt", () => {
     for (let n = 0; n < 40; n++) {
-      readPace.observe({
+      prefillTimeEstimator.observe({
         service: SERVICE.id,
         model: LARGE,
         tokens: 2_000,
@@ -63,7 +63,7 @@
   });
 
   it("should take requests to plain services as alike", () => {
-    const predictor = new WorkPredictor({ readPace });
+    const predictor = new WorkPredictor({ prefillTimeEstimator });
     const plain = { ...SERVICE, engine: undefined };
     const work = predictor.predict(HEAD, { service: plain, model: undefined });
     assert.equal(work.sharedMs, 0);
--- a/src/store/server_follower.ts
+++ b/src/store/server_follower.ts
@@ -4,11 +4,11 @@
 import type { ColdServers } from "../core/servers/cold_servers.ts";
 import type {
   DirectoryChange,
-  LeavingLife,
+  LeavingServer,
   ServerDirectory,
 } from "../core/servers/server_directory.ts";
 import type {
-  ServerLifeKey,
+  ServerIncarnationKey,
   ServerRecord,
 } from "../core/servers/server_record.ts";
 import { describeDecodeError } from "../platform/decode_error.ts";
@@ -70,7 +70,7 @@
     this.follower.start();
     const { serverDirectory } = this.#deps;
     this.#timer = setInterval(
-      () => this.#note(serverDirectory.expire(this.#at())),
+      () => this.#note(serverDirectory.removeExpired(this.#at())),
       EXPIRY_INTERVAL_MS,
     );
   }
@@ -94,13 +94,13 @@
   }
 
   /** Notes that a server has said in an answer, here or to another VM, that it leaves. */
-  leaves(life: ServerLifeKey): void {
-    this.#note(this.#deps.serverDirectory.leaves(life));
+  leaves(life: ServerIncarnationKey): void {
+    this.#note(this.#deps.serverDirectory.markLeaving(life));
   }
 
   /** Lives of servers that have said that they leave. */
-  leavingLives(): LeavingLife[] {
-    return this.#deps.serverDirectory.leavingLives();
+  leavingLives(): LeavingServer[] {
+    return this.#deps.serverDirectory.leavingServers();
   }
 
   /** Notes that another server answers at the address of this one. */
@@ -136,7 +136,7 @@
     const { coldServers, clock } = this.#deps;
     const { instance, coldForMs: leftMs } = record;
     const nowMs = clock.monotonicMs();
-    if (!coldServers.note(instance, { leftMs, nowMs })) return;
+    if (!coldServers.markCold(instance, { leftMs, nowMs })) return;
     this.#coldNews.note([record]);
   }
 
@@ -152,7 +152,7 @@
       this.#unreadable.delete(instance);
       return [decoded.value];
     }
-    this.#note(this.#deps.serverDirectory.unreadable(instance));
+    this.#note(this.#deps.serverDirectory.markUnreadable(instance));
     // Another writer may write it again and again.
     if (this.#unreadable.has(instance)) return [];
     this.#unreadable.add(instance);
--- a/src/store/server_follower_test.ts
+++ b/src/store/server_follower_test.ts
@@ -32,7 +32,7 @@
     objectStore: {} as ObjectStore,
     storeHealth: {
       // As shortly after an outage, when entries may be missing for a while.
-      health: { reachable: true, backSinceMs: 0 },
+      health: { reachable: true, recoveredAtMs: 0 },
       onBack: () => {},
     } as unknown as StoreHealthKeeper,
     seenRevisions: new SeenRevisions(),
--- a/src/store/store_health.ts
+++ b/src/store/store_health.ts
@@ -25,7 +25,7 @@
 
   /** What explains entries that are missing from the store's lists. */
   get health(): StoreHealth {
-    return { reachable: this.#reachable, backSinceMs: this.#backSinceMs };
+    return { reachable: this.#reachable, recoveredAtMs: this.#backSinceMs };
   }
 
   /** Registers a listener for the store's return. */
@@ -73,8 +73,8 @@
   heard(backAgeMs: number | undefined): void {
     this.#isBack();
     if (backAgeMs === undefined) return;
-    const backSinceMs = this.#clock.monotonicMs() - backAgeMs;
-    this.#backSinceMs = Math.max(this.#backSinceMs ?? 0, backSinceMs);
+    const recoveredAtMs = this.#clock.monotonicMs() - backAgeMs;
+    this.#backSinceMs = Math.max(this.#backSinceMs ?? 0, recoveredAtMs);
   }
 
   /** Notes that an own call was not answered, or was turned away. */
--- a/src/store/store_health_test.ts
+++ b/src/store/store_health_test.ts
@@ -28,7 +28,7 @@
       keeper.heard(undefined);
       assert.deepEqual(keeper.health, {
         reachable: true,
-        backSinceMs: undefined,
+        recoveredAtMs: undefined,
       });
       nowMs += 1_600;
     }
@@ -38,17 +38,17 @@
     keeper.failed("refused");
     nowMs += 5_000;
     keeper.heard(300);
-    assert.equal(keeper.health.backSinceMs, nowMs - 300);
+    assert.equal(keeper.health.recoveredAtMs, nowMs - 300);
   });
 
   it("should date the store's return by an own call that is answered", () => {
     keeper.failed("refused");
     nowMs += 5_000;
     keeper.answered();
-    assert.equal(keeper.health.backSinceMs, nowMs);
+    assert.equal(keeper.health.recoveredAtMs, nowMs);
     nowMs += 1_000;
     keeper.answered();
-    assert.equal(keeper.health.backSinceMs, nowMs - 1_000);
+    assert.equal(keeper.health.recoveredAtMs, nowMs - 1_000);
   });
 
   it("should tell those who listen of a return, however it is learnt", () => {
--- a/src/store/store_sync.ts
+++ b/src/store/store_sync.ts
@@ -102,13 +102,15 @@
   /** What a VM should hear that knows so much; `undefined` tells no changes. */
   tell(known: ToldStore["known"] | undefined): ToldStore {
     const { storeHealth, clock } = this.#deps;
-    const { backSinceMs } = storeHealth.health;
+    const { recoveredAtMs } = storeHealth.health;
     const nowMs = clock.monotonicMs();
     return {
       reads: this.#access === "reader" && this.inTouch,
       lost: this.storeLost,
       inTouch: this.inTouch,
-      backAgeMs: backSinceMs === undefined ? undefined : nowMs - backSinceMs,
+      backAgeMs: recoveredAtMs === undefined
+        ? undefined
+        : nowMs - recoveredAtMs,
       known: this.known(),
       changes: known === undefined ? [] : this.#changesSince(known),
     };
