--- a/src/core/limits/burst_detector.ts
+++ b/src/core/limits/burst_detector.ts
@@ -1,48 +1,51 @@
 /**
- * Tells requests that come at a usual rate from those that a link held back and delivers in a burst. The
- * latter were sent earlier than they are read, and nothing on them says when.
+ * Distinguishes requests that arrive at the usual rate from those that a link delayed and delivers
+ * in a burst. The latter were sent earlier than they are read, and carry no send time.
  */
 
-import { WindowCount } from "./sliding_window_counter.ts";
+import { SlidingWindowCounter } from "./sliding_window_counter.ts";
 
-/** Time over which a surge is measured, in milliseconds. */
-const SLICE_MS = 500;
-/** Times the usual number of a slice up to which requests are taken for those of now. */
+/** Interval over which a burst is measured, in milliseconds. */
+const INTERVAL_MS = 500;
+/** Multiple of the usual number of requests per interval up to which requests count as just sent. */
 const USUAL_FACTOR = 3;
-/** Requests of a slice that are taken so in any case: they come by chance. */
-const LEAST = 8;
+/** Requests per interval that count as just sent in any case, as their number varies by chance. */
+const MIN_REQUESTS = 8;
 
-/** Judges the requests of one service at one VM. */
-export class SurgeLimit {
+/** Detects bursts among the requests for one service at one VM. */
+export class BurstDetector {
   readonly #windowMs: number;
   readonly #startedMs: number;
-  readonly #read: WindowCount;
-  #sliceMs = -Infinity;
-  #left = 0;
+  readonly #requests: SlidingWindowCounter;
+  #intervalStartMs = -Infinity;
+  #remaining = 0;
 
   constructor(
     { windowMs, startedMs }: { windowMs: number; startedMs: number },
   ) {
     this.#windowMs = windowMs;
     this.#startedMs = startedMs;
-    this.#read = new WindowCount(windowMs);
+    this.#requests = new SlidingWindowCounter(windowMs);
   }
 
-  /** Notes that a request was read; returns whether it is taken for one that was sent just now. */
-  take(nowMs: number): boolean {
-    if (nowMs - this.#sliceMs >= SLICE_MS) {
-      this.#sliceMs = nowMs;
-      this.#left = Math.max(LEAST, USUAL_FACTOR * this.#usual(nowMs));
+  /** Records a request; returns whether it counts as just sent rather than as part of a burst. */
+  recordRequest(nowMs: number): boolean {
+    if (nowMs - this.#intervalStartMs >= INTERVAL_MS) {
+      this.#intervalStartMs = nowMs;
+      this.#remaining = Math.max(
+        MIN_REQUESTS,
+        USUAL_FACTOR * this.#usual(nowMs),
+      );
     }
-    this.#read.add(nowMs);
-    this.#left -= 1;
-    return this.#left >= 0;
+    this.#requests.add(nowMs);
+    this.#remaining -= 1;
+    return this.#remaining >= 0;
   }
 
-  /** Requests of a slice, by those of the last window. */
+  /** Average number of requests per interval over the last window. */
   #usual(nowMs: number): number {
-    const agedMs = Math.max(SLICE_MS, nowMs - this.#startedMs);
-    return this.#read.total(nowMs) * SLICE_MS /
-      Math.min(this.#windowMs, agedMs);
+    const uptimeMs = Math.max(INTERVAL_MS, nowMs - this.#startedMs);
+    return this.#requests.total(nowMs) * INTERVAL_MS /
+      Math.min(this.#windowMs, uptimeMs);
   }
 }
--- a/src/core/limits/entry_retry_budget.ts
+++ b/src/core/limits/entry_retry_budget.ts
@@ -1,23 +1,23 @@
-/** Keeps retries a small part of all requests, so that they never amplify a wave. */
+/** Limits an entry's retries to a fraction of its requests, so that retries do not amplify an overload. */
 
-/** Retries earned by each request. */
-const EARNED_PER_REQUEST = 0.1;
-/** Retries that may be saved up. */
-const MOST_SAVED = 20;
+/** Retries that each request adds to the budget. */
+const RETRIES_PER_REQUEST = 0.1;
+/** Maximum balance, in retries. */
+const MAX_BALANCE = 20;
 
-/** A budget that requests fill and retries spend. */
+/** Retry budget: requests add to its balance, retries take from it. */
 export class EntryRetryBudget {
-  #saved = MOST_SAVED;
+  #balance = MAX_BALANCE;
 
-  /** Counts a first try. */
+  /** Counts the first attempt of a request. */
   deposit(): void {
-    this.#saved = Math.min(MOST_SAVED, this.#saved + EARNED_PER_REQUEST);
+    this.#balance = Math.min(MAX_BALANCE, this.#balance + RETRIES_PER_REQUEST);
   }
 
-  /** Returns whether a retry may be made, and counts it. */
+  /** Takes one retry from the balance; returns whether there was one. */
   tryWithdraw(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#balance < 1) return false;
+    this.#balance -= 1;
     return true;
   }
 }
--- a/src/core/limits/in_flight_limits.ts
+++ b/src/core/limits/in_flight_limits.ts
@@ -1,14 +1,14 @@
-/** Bounds on the requests that an entry works on at once. */
+/** Bounds on the requests that an entry has in flight. */
 
 import type { Account } from "../config/configuration.ts";
 import type { AccountId } from "../ids.ts";
 import type { RequestError } from "../request_error.ts";
 import { fail, ok, type Result } from "../result.ts";
 
-/** When a refused caller should come back. */
+/** Delay after which a rejected caller should retry. */
 const RETRY_AFTER_MS = 500;
 
-/** Counts requests in flight, in all and for each account. */
+/** Counts requests in flight, in total and per client account. */
 export class InFlightLimits {
   readonly #limit: number;
   readonly #byAccount = new Map<AccountId, number>();
@@ -23,12 +23,12 @@
     return this.#total;
   }
 
-  /** Requests of one account in flight. */
+  /** Requests of one client account in flight. */
   countOfAccount(id: AccountId): number {
     return this.#byAccount.get(id) ?? 0;
   }
 
-  /** Lets a request in, to be ended by `leave`, or tells why not. */
+  /** Admits a request, which must end with `release`, or returns why it is rejected. */
   tryAcquire(account: Account): Result<undefined, RequestError> {
     if (this.#total >= this.#limit) {
       return fail({ tag: "overloaded", retryAfterMs: RETRY_AFTER_MS });
@@ -47,7 +47,7 @@
     return ok(undefined);
   }
 
-  /** Ends a request that was let in. */
+  /** Ends a request that was admitted. */
   release(id: AccountId): void {
     this.#total -= 1;
     const count = this.countOfAccount(id) - 1;
--- a/src/core/limits/limits_test.ts
+++ b/src/core/limits/limits_test.ts
@@ -4,11 +4,11 @@
 import { InFlightLimits } from "./in_flight_limits.ts";
 import { EntryRetryBudget } from "./entry_retry_budget.ts";
 
-describe("limits of requests in flight", () => {
+describe("in-flight limits", () => {
   const small = { id: "small", max_in_flight: 1 } as unknown as Account;
   const large = { id: "large", max_in_flight: 10 } as unknown as Account;
 
-  test("should hold one account's wave apart from the others", () => {
+  test("should isolate a burst of one client account from the others", () => {
     const limits = new InFlightLimits(10);
     assert.equal(limits.tryAcquire(small).ok, true);
     const second = limits.tryAcquire(small);
@@ -18,7 +18,7 @@
     assert.equal(limits.tryAcquire(small).ok, true);
   });
 
-  test("should refuse beyond the entry's own limit and say when to come back", () => {
+  test("should reject requests beyond the entry's own limit with a retry delay", () => {
     const limits = new InFlightLimits(1);
     limits.tryAcquire(large);
     const second = limits.tryAcquire(large);
@@ -29,8 +29,8 @@
   });
 });
 
-describe("a retry budget", () => {
-  test("should keep retries at a tenth of the requests once savings are spent", () => {
+describe("entry retry budget", () => {
+  test("should limit retries to a tenth of the requests once the initial balance is used", () => {
     const budget = new EntryRetryBudget();
     while (budget.tryWithdraw());
     let retries = 0;
--- a/src/core/limits/retry_budget.ts
+++ b/src/core/limits/retry_budget.ts
@@ -1,276 +1,277 @@
 /**
- * Bounds the retries that a service gets from all VMs together, without a word between VMs: each
- * VM earns a part of a retry with each request of its own callers, and saves up only so much.
+ * Bounds the retries that all VMs together send to a service, without coordination between VMs:
+ * each VM earns a fraction of a retry for each request of its own callers, up to a cap.
  */
 
 import type { ServiceId } from "../ids.ts";
-import { SurgeLimit } from "./burst_detector.ts";
-import { WindowCount } from "./sliding_window_counter.ts";
+import { BurstDetector } from "./burst_detector.ts";
+import { SlidingWindowCounter } from "./sliding_window_counter.ts";
 
-/** What the fleet is allowed over each window. */
+/** Bounds on the retries of the whole fleet in any window. */
 export interface RetryBounds {
-  /** Retries for each request for the service. */
+  /** Retries allowed per request for the service. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Retries of the whole fleet beyond that. */
+  /** Retries that the whole fleet may send in addition. */
   readonly allowance: number;
 }
 
-/** What a budget stands at, for the log. */
+/** Snapshot of the budget of one service. */
 export interface RetryBudgetState {
-  /** Retries that may still be acquired now. */
+  /** Permits that can be acquired now. */
   readonly available: number;
-  /** Those of them that are not kept for answers that would be lost. */
+  /** Available permits beyond those reserved for requests whose answer would be lost without a retry. */
   readonly unreserved: number;
-  /** Retries earned by requests and not sent yet; negative while too many lie unread. */
+  /** Retries earned by requests and not sent yet; negative while too many are unacknowledged. */
   readonly earned: number;
-  /** Those of them that may be sent now, as not too many lie unread. */
+  /** Earned retries that can be sent now within the limit on unacknowledged ones. */
   readonly sendable: number;
-  /** Retries earned by requests that may still arrive at a server. */
+  /** Earned retries that were sent and may still arrive at a server. */
   readonly unacked: number;
-  /** What this VM may still send out of the fleet's allowance. */
+  /** What remains of this VM's share of the fleet's allowance. */
   readonly allowance: number;
-  /** Permits that were acquired and not sent yet. */
+  /** Permits acquired and not used yet. */
   readonly held: number;
-  /** Requests of this VM in the window. */
+  /** Requests received by this VM in the window. */
   readonly requests: number;
-  /** VMs among which the allowance is split; undefined where it is not known. */
+  /** VMs that share the allowance; undefined if unknown. */
   readonly vms: number | undefined;
 }
 
-/** What a budget is kept by, besides the bounds. */
+/** What a budget needs besides its bounds. */
 export interface RetryBudgetOptions {
-  /** When the process started. */
+  /** When the process started, by the monotonic clock. */
   readonly startedMs: number;
-  /** How many VMs there may be; undefined where it is not known. */
+  /** Returns how many VMs there may be; undefined if unknown. */
   readonly vms: () => number | undefined;
 }
 
-/** Part of the ratio that a request earns. */
-const EARNED_SHARE = 0.58;
+/** Fraction of the ratio that each request earns. */
+const EARNED_RATIO_SHARE = 0.58;
 /**
- * Part of the ratio that may be saved up for each request of the last window. Where callers move
- * to other VMs, what was saved here and what is earned there are sent in one window; so the two
- * parts together stay within the ratio.
+ * Fraction of the ratio that may be saved per request of the last window. When callers move to
+ * other VMs, retries saved here and retries earned there can be sent in one window, so this and
+ * `EARNED_RATIO_SHARE` together stay below 1.
  */
-const SAVED_SHARE = 0.4;
+const SAVED_RATIO_SHARE = 0.4;
 /**
- * Part of the ratio that may lie unread for each request of the last window, beyond one retry. It
- * may still be read once requests have become few, and pay for less.
+ * Fraction of the ratio that may be unacknowledged per request of the last window, beyond one
+ * retry. Unacknowledged retries may arrive after the request rate has dropped, when the bound is lower.
  */
-const UNREAD_SHARE = 0.2;
-/** Part of what may be saved up that is kept for requests whose answer would be lost without it. */
+const UNACKED_RATIO_SHARE = 0.2;
+/** Fraction of the maximum balance reserved for requests whose answer would be lost without a retry. */
 const RESERVED_SHARE = 0.25;
 /**
- * Part of the allowance that is split among the VMs known. VMs that start while a cut divides the
- * fleet know their own side only; the parts of two sides together stay within the allowance.
+ * Fraction of the allowance that is split among the known VMs. VMs that start during a network
+ * partition know only their own side; the shares of two sides together stay within the allowance.
  */
 const ALLOWANCE_SHARE = 0.45;
 
-/** Time between heartbeats from which on the process was suspended, or did not get to run. */
-const SUSPENDED_MS = 400;
-/** Time in which a process reads what has come while it was suspended. */
-const BACKLOG_MS = 500;
+/** Time between heartbeats from which the process counts as having been suspended or starved. */
+const SUSPENSION_GAP_MS = 400;
+/** Time in which a resumed process reads the requests that arrived while it was suspended. */
+const BACKLOG_DRAIN_MS = 500;
 
-/** Part of a retry that was sent out of the allowance. */
+/** The part of a retry that was paid from the allowance. */
 interface Charge {
   readonly amount: number;
-  /** When the window of its arrival ends; infinite while it may still arrive. */
+  /** When the charge expires: one window after the retry arrived; infinite while it may still arrive. */
   untilMs: number;
 }
 
-/** A retry that was sent and has not arrived yet, as far as is known. */
+/** A retry that was sent and is not known to have arrived. */
 export interface SentRetry {
   readonly service: ServiceId;
-  /** Part of it that was earned by requests; the rest was charged on the allowance. */
+  /** Fraction that requests had earned; the rest was charged to the allowance. */
   readonly earned: number;
   readonly charge: Charge | undefined;
 }
 
-interface Account {
-  /** Requests that earn. */
-  readonly requests: WindowCount;
-  readonly surgeLimit: SurgeLimit;
+interface ServiceBudget {
+  /** Requests that earned a fraction of a retry. */
+  readonly requests: SlidingWindowCounter;
+  readonly burstDetector: BurstDetector;
   earned: number;
-  /** Retries that may still arrive. */
-  readonly unread: Set<SentRetry>;
-  /** When the last of them arrived. */
-  arrivedMs: number;
-  /** Permits that were acquired and not sent yet. */
+  /** Retries that may still arrive at a server. */
+  readonly unacked: Set<SentRetry>;
+  /** When the last retry arrived. */
+  lastArrivalMs: number;
+  /** Permits acquired and not used yet. */
   held: number;
-  /** Charges on the allowance that count in the window. */
+  /** Charges to the allowance that count in the window. */
   charges: Charge[];
 }
 
-/** The retry budgets of one VM, one for each service. */
+/** The retry budgets of one VM, one per service. */
 export class RetryBudget {
   readonly #bounds: RetryBounds;
   readonly #options: RetryBudgetOptions;
-  readonly #accounts = new Map<ServiceId, Account>();
-  #heartbeatMs: number;
+  readonly #budgets = new Map<ServiceId, ServiceBudget>();
+  #lastHeartbeatMs: number;
   #backlogUntilMs = -Infinity;
 
   constructor(bounds: RetryBounds, options: RetryBudgetOptions) {
     this.#bounds = bounds;
     this.#options = options;
-    this.#heartbeatMs = options.startedMs;
+    this.#lastHeartbeatMs = options.startedMs;
   }
 
-  /** Called several times within `SUSPENDED_MS` while the process runs; a gap shows a suspension. */
+  /** Must be called several times per `SUSPENSION_GAP_MS`; a longer gap reveals a suspension. */
   heartbeat(nowMs: number): void {
-    if (nowMs - this.#heartbeatMs >= SUSPENDED_MS) {
-      this.#backlogUntilMs = nowMs + BACKLOG_MS;
+    if (nowMs - this.#lastHeartbeatMs >= SUSPENSION_GAP_MS) {
+      this.#backlogUntilMs = nowMs + BACKLOG_DRAIN_MS;
     }
-    this.#heartbeatMs = nowMs;
+    this.#lastHeartbeatMs = nowMs;
   }
 
-  /** Counts a caller's request, which earns a part of a retry. */
+  /** Counts a caller's request, which earns a fraction of a retry. */
   countRequest(service: ServiceId, nowMs: number): void {
-    const account = this.#account(service);
-    const isRecent = account.surgeLimit.take(nowMs) && !this.#isBehind(nowMs);
-    // It may have been sent in an earlier window, where it does not pay for this one.
+    const budget = this.#budgetOf(service);
+    const isRecent = budget.burstDetector.recordRequest(nowMs) &&
+      !this.#isDrainingBacklog(nowMs);
+    // A request that was sent in an earlier window must not earn retries for this one.
     if (!isRecent) return;
-    account.requests.add(nowMs);
-    account.earned += EARNED_SHARE * this.#bounds.ratio;
-    this.#limitSaved(account, nowMs);
+    budget.requests.add(nowMs);
+    budget.earned += EARNED_RATIO_SHARE * this.#bounds.ratio;
+    this.#capEarned(budget, nowMs);
   }
 
-  /** Holds a permit for one retry; returns whether it could. */
+  /** Acquires a permit for one retry; returns whether one was available. */
   acquire(service: ServiceId, nowMs: number): boolean {
     if (this.state(service, nowMs).available < 1) return false;
-    this.#account(service).held += 1;
+    this.#budgetOf(service).held += 1;
     return true;
   }
 
   /**
-   * Uses up a permit that is held, as the first byte leaves; returns nothing where the window does
-   * not bear the retry. It may have waited since it was acquired.
+   * Uses an acquired permit, as the first byte of the retry is written. Returns undefined if the
+   * budget no longer covers the retry, as it may have shrunk since the permit was acquired.
    */
   send(service: ServiceId, nowMs: number): SentRetry | undefined {
     this.release(service);
     const { sendable, allowance } = this.state(service, nowMs);
     if (sendable + allowance < 1) return undefined;
-    const account = this.#account(service);
+    const budget = this.#budgetOf(service);
     const paid = Math.min(1, sendable);
-    account.earned -= paid;
+    budget.earned -= paid;
     const charge = paid === 1
       ? undefined
       : { amount: 1 - paid, untilMs: Infinity };
-    if (charge !== undefined) account.charges.push(charge);
+    if (charge !== undefined) budget.charges.push(charge);
     const retry = { service, earned: paid, charge };
-    account.unread.add(retry);
+    budget.unacked.add(retry);
     return retry;
   }
 
-  /** Notes that a retry has arrived at its server, or can't arrive any more. */
+  /** Records that a retry has arrived at its server, or can no longer arrive. */
   recordArrival(retry: SentRetry, nowMs: number): void {
-    const account = this.#account(retry.service);
-    this.#limitSaved(account, nowMs);
-    account.unread.delete(retry);
-    account.arrivedMs = nowMs;
+    const budget = this.#budgetOf(retry.service);
+    this.#capEarned(budget, nowMs);
+    budget.unacked.delete(retry);
+    budget.lastArrivalMs = nowMs;
     const { charge } = retry;
     if (charge !== undefined) charge.untilMs = nowMs + this.#bounds.windowMs;
   }
 
-  /** Gives back a permit that is held. */
+  /** Releases an acquired permit that was not used. */
   release(service: ServiceId): void {
-    this.#account(service).held -= 1;
+    this.#budgetOf(service).held -= 1;
   }
 
-  /** What the budget of a service stands at. */
+  /** Returns a snapshot of the budget of a service. */
   state(service: ServiceId, nowMs: number): RetryBudgetState {
-    const account = this.#account(service);
-    this.#limitSaved(account, nowMs);
-    const { earned } = account;
-    const mostSaved = this.#mostSaved(account, nowMs);
-    const mostAllowance = this.#mostAllowance(nowMs);
-    const charged = this.#charged(account, nowMs);
-    const allowance = Math.max(0, mostAllowance - charged);
-    const sendable = this.#sendable(account, nowMs);
-    const left = sendable + allowance - account.held;
+    const budget = this.#budgetOf(service);
+    this.#capEarned(budget, nowMs);
+    const { earned } = budget;
+    const maxSaved = this.#maxSaved(budget, nowMs);
+    const allowanceShare = this.#allowanceShare(nowMs);
+    const charged = this.#chargedAllowance(budget, nowMs);
+    const allowance = Math.max(0, allowanceShare - charged);
+    const sendable = this.#sendable(budget, nowMs);
+    const available = sendable + allowance - budget.held;
     return {
-      available: left,
-      unreserved: left - RESERVED_SHARE * (mostSaved + mostAllowance),
+      available,
+      unreserved: available - RESERVED_SHARE * (maxSaved + allowanceShare),
       earned,
       sendable,
-      unacked: unreadOf(account),
+      unacked: unackedEarned(budget),
       allowance,
-      held: account.held,
-      requests: account.requests.total(nowMs),
+      held: budget.held,
+      requests: budget.requests.total(nowMs),
       vms: this.#options.vms(),
     };
   }
 
-  #isBehind(nowMs: number): boolean {
-    return nowMs - this.#heartbeatMs >= SUSPENDED_MS ||
+  #isDrainingBacklog(nowMs: number): boolean {
+    return nowMs - this.#lastHeartbeatMs >= SUSPENSION_GAP_MS ||
       nowMs < this.#backlogUntilMs;
   }
 
   /**
-   * Retries count as they arrive, which may be long after they were sent. What is saved and what
-   * lies unread may arrive together, so both have one limit; and what lies unread beyond it, as
-   * requests become fewer, is owed by later requests.
+   * Retries count when they arrive, which may be long after they were sent. Saved and
+   * unacknowledged retries may arrive together, so both share one cap. When the request rate drops
+   * and unacknowledged retries exceed the cap, the balance goes negative and later requests repay it.
    */
-  #limitSaved(account: Account, nowMs: number): void {
-    const { unread, arrivedMs } = account;
-    const isSettled = unread.size === 0 &&
-      nowMs - arrivedMs > this.#bounds.windowMs;
-    if (isSettled) account.earned = Math.max(0, account.earned);
-    const most = this.#mostSaved(account, nowMs) - unreadOf(account);
-    account.earned = Math.min(account.earned, most);
+  #capEarned(budget: ServiceBudget, nowMs: number): void {
+    const { unacked, lastArrivalMs } = budget;
+    const isIdle = unacked.size === 0 &&
+      nowMs - lastArrivalMs > this.#bounds.windowMs;
+    if (isIdle) budget.earned = Math.max(0, budget.earned);
+    const cap = this.#maxSaved(budget, nowMs) - unackedEarned(budget);
+    budget.earned = Math.min(budget.earned, cap);
   }
 
-  #sendable(account: Account, nowMs: number): number {
-    const unread = unreadOf(account);
+  #sendable(budget: ServiceBudget, nowMs: number): number {
+    const unacked = unackedEarned(budget);
     const { ratio } = this.#bounds;
-    const most = UNREAD_SHARE * ratio * account.requests.total(nowMs);
-    const room = unread === 0 ? Infinity : most - unread;
-    return Math.max(0, Math.min(account.earned, room));
+    const limit = UNACKED_RATIO_SHARE * ratio * budget.requests.total(nowMs);
+    const room = unacked === 0 ? Infinity : limit - unacked;
+    return Math.max(0, Math.min(budget.earned, room));
   }
 
-  #mostSaved({ requests }: Account, nowMs: number): number {
-    return SAVED_SHARE * this.#bounds.ratio * requests.total(nowMs);
+  #maxSaved({ requests }: ServiceBudget, nowMs: number): number {
+    return SAVED_RATIO_SHARE * this.#bounds.ratio * requests.total(nowMs);
   }
 
-  /** This VM's part of the fleet's allowance for one window. */
-  #mostAllowance(nowMs: number): number {
+  /** This VM's share of the fleet's allowance for one window. */
+  #allowanceShare(nowMs: number): number {
     const { allowance, windowMs } = this.#bounds;
     const vms = this.#options.vms();
-    // A VM that hears no other cannot tell how many of them have a part, too.
+    // A VM that reaches no other VM does not know how many share the allowance.
     if (vms === undefined) return 0;
-    // What the process before this one has sent is not known, and may still count.
+    // Retries sent by the previous process on this VM are unknown and may still count.
     if (nowMs - this.#options.startedMs <= windowMs) return 0;
     return ALLOWANCE_SHARE * allowance / vms;
   }
 
-  /** What the window that ends now has taken out of that part. */
-  #charged(account: Account, nowMs: number): number {
-    account.charges = account.charges.filter(({ untilMs }) => nowMs <= untilMs);
-    return account.charges.reduce((sum, { amount }) => sum + amount, 0);
+  /** Returns the part of that share used in the window that ends now. */
+  #chargedAllowance(budget: ServiceBudget, nowMs: number): number {
+    budget.charges = budget.charges.filter(({ untilMs }) => nowMs <= untilMs);
+    return budget.charges.reduce((sum, { amount }) => sum + amount, 0);
   }
 
-  #account(service: ServiceId): Account {
-    const known = this.#accounts.get(service);
+  #budgetOf(service: ServiceId): ServiceBudget {
+    const known = this.#budgets.get(service);
     if (known !== undefined) return known;
-    const account = {
-      requests: new WindowCount(this.#bounds.windowMs),
-      surgeLimit: new SurgeLimit({
+    const budget = {
+      requests: new SlidingWindowCounter(this.#bounds.windowMs),
+      burstDetector: new BurstDetector({
         windowMs: this.#bounds.windowMs,
         startedMs: this.#options.startedMs,
       }),
       earned: 0,
-      unread: new Set<SentRetry>(),
-      arrivedMs: -Infinity,
+      unacked: new Set<SentRetry>(),
+      lastArrivalMs: -Infinity,
       held: 0,
       charges: [],
     };
-    this.#accounts.set(service, account);
-    return account;
+    this.#budgets.set(service, budget);
+    return budget;
   }
 }
 
-function unreadOf({ unread }: Account): number {
+function unackedEarned({ unacked }: ServiceBudget): number {
   let sum = 0;
-  for (const { earned } of unread) sum += earned;
+  for (const { earned } of unacked) sum += earned;
   return sum;
 }
--- a/src/core/limits/retry_budget_fleet_test.ts
+++ b/src/core/limits/retry_budget_fleet_test.ts
@@ -1,19 +1,19 @@
 /**
- * Servers got more retries in ten seconds from all VMs together than are allowed: 245 of 234 where
- * seven VMs were killed three times beside servers that turned requests away, 402 of 234 where
- * none of seven reached another. Four causes, each a bound that a VM kept for itself and that does
- * not hold as a sum:
+ * Guards against all VMs together sending more retries to a service than the bound allows in a window
+ * of 10 s, although each VM respects its own budget. Seen: 245 of 234 allowed where seven VMs were
+ * killed three times while servers rejected requests; 402 of 234 where none of seven VMs reached
+ * another. Causes:
  *
- * - Each VM let its own window of requests pay for retries at any time. As callers moved to other
- *   VMs, what the old VMs had not sent and what the new ones earned came in one window. Shown by
- *   failures in pulses around such moves: 298 of 234, without any restart and with one view.
- * - Each process began with a share of the allowance, whatever its predecessor had sent. Shown by the
- *   logs of such a day, in which each process sends more retries than it gets requests, and by
- *   simulated restarts of a single VM: 144 of 117.
- * - Each VM split the allowance among the VMs that it heard, so one that heard none took all of it.
- *   Shown by gateways that do not reach each other, without any restart.
- * - Requests that had waited for a suspended VM paid for retries of a later window than the one that
- *   they were sent in. Shown by simulated suspensions alone: 238 of 234.
+ * - Requests of a window earned retries that could be sent at any later time. When callers moved to
+ *   other VMs, retries saved on the old VMs and earned on the new ones fell into one window: 298 of
+ *   234 with pulses of failures around such moves, without restarts and with one view of the fleet.
+ * - Each process started with a share of the allowance, whatever the previous process on the VM had
+ *   sent, so a restarted process could send more retries than it got requests: 144 of 117 in a
+ *   simulation that restarts a single VM.
+ * - Each VM split the allowance among the VMs that it reached, so a VM that reached none used all of
+ *   it. Reproduced by gateways that do not reach each other, without restarts.
+ * - Requests that had waited for a suspended VM earned retries in a later window than the one in
+ *   which they were sent: 238 of 234 in a simulation of suspensions alone.
  */
 
 import { describe, it } from "node:test";
@@ -25,10 +25,11 @@
   playRetries,
 } from "../../../tests/fixtures/retry_play.ts";
 
-/** Time between restarts, and until a VM that has started hears others. */
+/** Time between restarts. */
 const RESTART_MS = 1_500;
-const HEARD_MS = 500;
-/** Callers leave VMs that have saved up all they can, and come back so soon that both lie in one window. */
+/** Time until a started VM reaches the others. */
+const REACHABLE_AFTER_MS = 500;
+/** Callers leave VMs whose budgets are full, and return within one window. */
 const AWAY_MS = 9_000;
 const PERIOD_MS = 36_000;
 const PULSE_MS = 1_500;
@@ -36,12 +37,12 @@
 const RESUMED_MS = 26_000;
 
 describe("retry budgets of a fleet", () => {
-  it("should keep retries within the bound where VMs restart again and again", () => {
+  it("should keep retries within the bound where VMs restart repeatedly", () => {
     forEachFleet(({ vms, perS, label }) => {
-      // A VM that has just started knows itself alone for a while.
+      // A VM that has just started knows no other VM for a while.
       let startedMs = 0;
       const hears = (_vm: number, _other: number, nowMs: number) =>
-        nowMs - startedMs >= HEARD_MS;
+        nowMs - startedMs >= REACHABLE_AFTER_MS;
       const fleet = new RetryFleet(vms, { hears });
       fleet.isFailing = true;
       const step = (_fleet: RetryFleet, nowMs: number) => {
@@ -54,33 +55,36 @@
     });
   });
 
-  it("should keep retries within the bound where VMs do not know each other", () => {
-    const cuts: Record<string, Hears> = {
-      "none hears another": () => false,
-      "two sides, from their start on": (vm, other) => vm % 2 === other % 2,
-      "none hears another any more": (_vm, _other, nowMs) => nowMs < 15_000,
+  it("should keep retries within the bound where VMs do not reach each other", () => {
+    const partitions: Record<string, Hears> = {
+      "no VM reaches another": () => false,
+      "two partitions from the start": (vm, other) => vm % 2 === other % 2,
+      "no VM reaches another from 15 s on": (_vm, _other, nowMs) =>
+        nowMs < 15_000,
     };
-    for (const [cut, hears] of Object.entries(cuts)) {
+    for (const [partition, hears] of Object.entries(partitions)) {
       forEachFleet(({ vms, perS, label }) => {
         const fleet = new RetryFleet(vms, { hears });
         fleet.isFailing = true;
         playRetries(fleet, { vms, perS, seconds: 35, step: () => {} });
-        assertWithinBound(fleet, `${cut}, ${label}`);
+        assertWithinBound(fleet, `${partition}, ${label}`);
       });
     }
   });
 
-  it("should keep retries within the bound where callers move as servers fail in pulses", () => {
+  it("should keep retries within the bound where callers move between VMs and servers fail in pulses", () => {
     forEachFleet(({ vms, perS, label }) => {
       const shape = { lastsMs: 8_000, retries: 2 };
       const fleet = new RetryFleet(vms, { shape });
       const half = Math.ceil(vms / 2);
       const isAway = (nowMs: number) =>
         nowMs % PERIOD_MS >= PERIOD_MS - AWAY_MS;
-      const target = (drawn: number, nowMs: number) =>
-        vms > 1 && isAway(nowMs) ? drawn * half : vms - half + drawn * half;
+      const target = (position: number, nowMs: number) =>
+        vms > 1 && isAway(nowMs)
+          ? position * half
+          : vms - half + position * half;
       const step = (_fleet: RetryFleet, nowMs: number) => {
-        // The last second before callers move.
+        // Servers fail in pulses that start one second before callers move.
         fleet.isFailing = isAway(nowMs + 1_000) !== isAway(nowMs) ||
           isAway(nowMs - PULSE_MS + 1_000) !== isAway(nowMs);
       };
@@ -98,7 +102,7 @@
           const isSuspended = nowMs === SUSPENDED_MS;
           for (let vm = 1; vm < vms; vm++) fleet.suspend(vm, isSuspended);
         }
-        // What was sent to suspended VMs is as old as a window then.
+        // By then, requests sent to the suspended VMs are as old as a window.
         fleet.isFailing = nowMs >= RESUMED_MS + AWAY_MS;
       };
       playRetries(fleet, { vms, perS, seconds: 45, step });
@@ -106,14 +110,14 @@
     });
   });
 
-  it("should keep retries within the bound in any history of a fleet", () => {
+  it("should keep retries within the bound for any sequence of events", () => {
     fc.assert(
       fc.property(
         fc.array(FLEET_EVENT, { maxLength: 60, size: "max" }),
         (events) => {
-          const fleet = new RetryFleet(DRAWN_VMS);
+          const fleet = new RetryFleet(RANDOM_VMS);
           for (const event of events) apply(fleet, event);
-          assertWithinBound(fleet, "drawn history");
+          assertWithinBound(fleet, "random events");
         },
       ),
       { seed: 1, numRuns: 300 },
@@ -121,7 +125,7 @@
   });
 });
 
-const DRAWN_VMS = 7;
+const RANDOM_VMS = 7;
 
 type FleetEvent =
   | { readonly tag: "wait"; readonly ms: number }
@@ -134,7 +138,7 @@
     readonly isSuspended: boolean;
   };
 
-const VM = fc.nat({ max: DRAWN_VMS - 1 });
+const VM = fc.nat({ max: RANDOM_VMS - 1 });
 const FLEET_EVENT: fc.Arbitrary<FleetEvent> = fc.oneof(
   { weight: 8, arbitrary: eventOf("wait", { ms: fc.nat({ max: 3_000 }) }) },
   {
@@ -156,7 +160,7 @@
   tag: Tag,
   fields: { [Name in keyof Fields]: fc.Arbitrary<Fields[Name]> },
 ): fc.Arbitrary<{ tag: Tag } & Fields> {
-  return fc.record(fields).map((drawn) => ({ tag, ...drawn }) as never);
+  return fc.record(fields).map((values) => ({ tag, ...values }) as never);
 }
 
 function apply(fleet: RetryFleet, event: FleetEvent): void {
--- a/src/core/limits/retry_budget_test.ts
+++ b/src/core/limits/retry_budget_test.ts
@@ -6,18 +6,18 @@
 
 const SERVICE = "tracker" as ServiceId;
 const BOUNDS = { ratio: 0.5, windowMs: 10_000, allowance: 8 };
-/** Of a VM whose predecessor has sent nothing that still counts. */
-const OLD = { startedMs: -Infinity, vms: () => 1 };
+/** Options of a long-running VM: no retries of a previous process can still count. */
+const LONG_RUNNING = { startedMs: -Infinity, vms: () => 1 };
 
-/** Lets a process run for a while that began to run before then. */
+/** Sends heartbeats for one second up to and including `untilMs`. */
 function runUntil(budget: RetryBudget, untilMs: number): void {
   for (let atMs = untilMs - 1_000; atMs <= untilMs; atMs += 100) {
     budget.heartbeat(atMs);
   }
 }
 
-/** Lets a process run and read a request each 100 ms, up to and including `untilMs`. */
-function press(
+/** Sends a heartbeat and a request every 100 ms, up to and including `untilMs`. */
+function runWithRequests(
   budget: RetryBudget,
   { fromMs, untilMs }: { fromMs: number; untilMs: number },
 ): void {
@@ -27,7 +27,7 @@
   }
 }
 
-/** Acquires and sends a retry; returns whether both could be done. */
+/** Acquires a permit and sends a retry; returns whether both succeeded. */
 function send(budget: RetryBudget, nowMs: number): boolean {
   if (!budget.acquire(SERVICE, nowMs)) return false;
   const retry = budget.send(SERVICE, nowMs);
@@ -37,40 +37,43 @@
 
 describe("retry budget", () => {
   it("should share the allowance among the VMs", () => {
-    // Of 8, less than half is used.
+    // Less than half of the allowance of 8 is used.
     for (const [vms, retries] of [[1, 3], [2, 1], [4, 0], [undefined, 0]]) {
-      const budget = new RetryBudget(BOUNDS, { ...OLD, vms: () => vms });
+      const budget = new RetryBudget(BOUNDS, {
+        ...LONG_RUNNING,
+        vms: () => vms,
+      });
       let sent = 0;
       while (send(budget, 0)) sent += 1;
       assert.equal(sent, retries);
     }
   });
 
-  it("should earn retries by requests and forget them after the window", () => {
-    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, OLD);
+  it("should earn retries by requests and drop them after the window", () => {
+    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, LONG_RUNNING);
     runUntil(budget, -1_000);
-    press(budget, { fromMs: -900, untilMs: 0 });
+    runWithRequests(budget, { fromMs: -900, untilMs: 0 });
     assert.equal(send(budget, 100), true);
     assert.equal(send(budget, 20_000), false);
   });
 
-  it("should earn its first retries by requests where it has just started", () => {
-    const budget = new RetryBudget(BOUNDS, { ...OLD, startedMs: 0 });
+  it("should earn its first retries only by requests after a start", () => {
+    const budget = new RetryBudget(BOUNDS, { ...LONG_RUNNING, startedMs: 0 });
     runUntil(budget, 9_499);
     assert.equal(send(budget, 9_499), false);
-    press(budget, { fromMs: 9_499, untilMs: 9_999 });
+    runWithRequests(budget, { fromMs: 9_499, untilMs: 9_999 });
     assert.equal(send(budget, 9_999), true);
     runUntil(budget, 9_999);
     assert.equal(send(budget, 9_999), false);
     assert.equal(send(budget, 10_001), true);
   });
 
-  it("should keep a part of what is saved for lost answers", () => {
-    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, OLD);
+  it("should reserve a fraction of the balance for lost answers", () => {
+    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, LONG_RUNNING);
     runUntil(budget, -20_100);
-    press(budget, { fromMs: -20_000, untilMs: 0 });
+    runWithRequests(budget, { fromMs: -20_000, untilMs: 0 });
     const { earned } = budget.state(SERVICE, 0);
-    // A fifth of 100 requests, the oldest of which may be forgotten a little early.
+    // A fifth of 100 requests, the oldest of which may be dropped a little early.
     assert.ok(earned >= 18 && earned < 20.3);
     let sent = 0;
     while (budget.state(SERVICE, 0).unreserved >= 1 && send(budget, 0)) {
@@ -81,8 +84,8 @@
     assert.equal(sent, Math.floor(earned));
   });
 
-  it("should earn nothing by requests that came while the process was suspended", () => {
-    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, OLD);
+  it("should not earn retries by requests that arrived while the process was suspended", () => {
+    const budget = new RetryBudget({ ...BOUNDS, allowance: 0 }, LONG_RUNNING);
     runUntil(budget, 0);
     const resumedMs = 5_000;
     for (let n = 0; n < 10; n++) budget.countRequest(SERVICE, resumedMs);
@@ -90,11 +93,14 @@
     for (let n = 0; n < 10; n++) budget.countRequest(SERVICE, resumedMs + 2);
     assert.equal(send(budget, resumedMs + 3), false);
     runUntil(budget, resumedMs + 1_000);
-    press(budget, { fromMs: resumedMs + 1_100, untilMs: resumedMs + 2_000 });
+    runWithRequests(budget, {
+      fromMs: resumedMs + 1_100,
+      untilMs: resumedMs + 2_000,
+    });
     assert.equal(send(budget, resumedMs + 2_000), true);
   });
 
-  it("should never let retries of a window exceed the bounds", () => {
+  it("should keep the retries of any window within the bounds", () => {
     const events = fc.array(
       fc.record({
         gapMs: fc.integer({ min: 0, max: 900 }),
@@ -104,7 +110,7 @@
     );
     fc.assert(
       fc.property(events, (list) => {
-        const budget = new RetryBudget(BOUNDS, OLD);
+        const budget = new RetryBudget(BOUNDS, LONG_RUNNING);
         const requests: number[] = [];
         const retries: number[] = [];
         let nowMs = 0;
--- a/src/core/limits/sliding_window_counter.ts
+++ b/src/core/limits/sliding_window_counter.ts
@@ -1,15 +1,15 @@
-/** Counts events of the last while in slices of time. */
+/** Counts events in a sliding window, which is divided into slices of time. */
 
-/** Slices of a window; more of them forget events less early. */
-const SLICES = 20;
+/** More slices make the counter drop events less early. */
+const SLICES_PER_WINDOW = 20;
 
 interface Slice {
   readonly startMs: number;
   count: number;
 }
 
-/** Count over a sliding window. It may forget an event up to one slice early, and never late. */
-export class WindowCount {
+/** Sliding window counter. It may drop an event up to one slice early, and never late. */
+export class SlidingWindowCounter {
   readonly #windowMs: number;
   readonly #slices: Slice[] = [];
   #total = 0;
@@ -22,7 +22,7 @@
   add(nowMs: number): void {
     this.#total += 1;
     const newest = this.#slices.at(-1);
-    const sliceMs = this.#windowMs / SLICES;
+    const sliceMs = this.#windowMs / SLICES_PER_WINDOW;
     if (newest !== undefined && nowMs - newest.startMs < sliceMs) {
       newest.count += 1;
     } else {
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Events in the window that ends now. */
+  /** Returns the number of events in the window that ends now. */
   total(nowMs: number): number {
     const fromMs = nowMs - this.#windowMs;
     while ((this.#slices[0]?.startMs ?? Infinity) < fromMs) {
