--- a/src/core/servers/server_backoffs.ts
+++ b/src/core/servers/server_backoffs.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers want nothing from this VM for a while, as they have said. A server that
- * is full may ask for rest; it is given all of it, whatever else is known of its health.
+ * Backoff that backend servers have requested from this VM. A server at capacity may request a
+ * pause; it is honoured in full, whatever else is known of the server's health.
  */
 
 import type { InstanceId } from "../ids.ts";
@@ -10,107 +10,107 @@
 } from "./server_record.ts";
 
 /**
- * Longest rest that is kept, in milliseconds: a day. A server that asks for more, by mistake, gets
- * one request a day.
+ * Longest backoff that is honoured, in milliseconds: a day. A server that requests more by mistake
+ * still gets one request a day.
  */
 export const MAX_BACKOFF_MS = 86_400_000;
 /**
- * Pause between requests to a server that has rested, until it takes one, in milliseconds. What
- * waited for it would otherwise fill it again in one moment; one that is still full turns the
- * first request away long before the next.
+ * Interval between requests to a server after its backoff until it accepts one, in milliseconds.
+ * Otherwise the requests that waited for the server would fill it again immediately. A server that is still at
+ * capacity rejects the first request long before the next one is due.
  */
 export const RESUME_INTERVAL_MS = 250;
-/** Rests that ended this long ago are forgotten, in milliseconds: nobody came back to them. */
-const FORGET_AFTER_MS = 60_000;
+/** Time after the end of a backoff until its entry is removed if no request was sent, in milliseconds. */
+const ENTRY_TTL_MS = 60_000;
 
-interface Rest {
-  readonly life: ServerIncarnationKey;
+interface Backoff {
+  readonly server: ServerIncarnationKey;
   untilMs: number;
-  /** Earliest time of the next request, once the rest is over. */
+  /** Earliest time of the next request; later than `untilMs` once a request was sent after the backoff. */
   nextMs: number;
 }
 
-/** Keeps the rests of servers, by the monotonic clock, from when this VM heard of them. */
+/** Stores the backoffs of servers, by the monotonic clock, from when this VM received them. */
 export class ServerBackoffs {
-  readonly #rests = new Map<InstanceId, Rest>();
+  readonly #backoffs = new Map<InstanceId, Backoff>();
 
   /**
-   * Notes that a server wants nothing for so long, in milliseconds. A shorter rest does not
-   * shorten a longer one. Returns whether the server was not resting before.
+   * Starts a backoff of `restMs` milliseconds. A shorter backoff does not shorten a longer one.
+   * Returns whether the server was not in backoff before.
    */
   start(
-    life: ServerIncarnationKey,
+    server: ServerIncarnationKey,
     { restMs, nowMs }: { restMs: number; nowMs: number },
   ): boolean {
     this.#expire(nowMs);
-    const stored = this.#rests.get(life.instance);
-    // A late notice of an earlier life says nothing of this one.
-    if (stored !== undefined && isLaterIncarnation(stored.life, life)) {
+    const stored = this.#backoffs.get(server.instance);
+    // A delayed notice of an earlier incarnation does not apply to the current one.
+    if (stored !== undefined && isLaterIncarnation(stored.server, server)) {
       return false;
     }
-    const known = this.#of(life);
+    const known = this.#get(server);
     const untilMs = nowMs + Math.min(restMs, MAX_BACKOFF_MS);
-    const resting = known !== undefined && known.untilMs > nowMs;
-    if (resting && known.untilMs >= untilMs) return false;
-    this.#rests.set(life.instance, { life, untilMs, nextMs: untilMs });
-    return !resting;
+    const isBackingOff = known !== undefined && known.untilMs > nowMs;
+    if (isBackingOff && known.untilMs >= untilMs) return false;
+    this.#backoffs.set(server.instance, { server, untilMs, nextMs: untilMs });
+    return !isBackingOff;
   }
 
-  /** When the last rest of a server ends or has ended; undefined where none is known. */
-  untilMs(life: ServerIncarnationKey): number | undefined {
-    return this.#of(life)?.untilMs;
+  /** When the last backoff of a server ends or ended; undefined if none is known. */
+  untilMs(server: ServerIncarnationKey): number | undefined {
+    return this.#get(server)?.untilMs;
   }
 
-  /** Milliseconds until a server has rested; 0 where it has. */
-  leftMs(life: ServerIncarnationKey, nowMs: number): number {
-    return Math.max(0, (this.#of(life)?.untilMs ?? 0) - nowMs);
+  /** Milliseconds until the backoff of a server ends; 0 if it is not in backoff. */
+  leftMs(server: ServerIncarnationKey, nowMs: number): number {
+    return Math.max(0, (this.#get(server)?.untilMs ?? 0) - nowMs);
   }
 
-  /** Milliseconds until a server may be chosen: it takes requests one by one after a rest. */
-  opensInMs(life: ServerIncarnationKey, nowMs: number): number {
-    return Math.max(0, (this.#of(life)?.nextMs ?? 0) - nowMs);
+  /** Milliseconds until a server may be chosen, including the interval between requests after a backoff. */
+  opensInMs(server: ServerIncarnationKey, nowMs: number): number {
+    return Math.max(0, (this.#get(server)?.nextMs ?? 0) - nowMs);
   }
 
-  /** Notes that a request is about to be sent; returns whether it is the first after a rest. */
-  recordSend(life: ServerIncarnationKey, nowMs: number): boolean {
-    const rest = this.#of(life);
-    if (rest === undefined) return false;
-    const isFirst = rest.nextMs === rest.untilMs;
-    rest.nextMs = nowMs + RESUME_INTERVAL_MS;
+  /** Records that a request is about to be sent; returns whether it is the first after a backoff. */
+  recordSend(server: ServerIncarnationKey, nowMs: number): boolean {
+    const backoff = this.#get(server);
+    if (backoff === undefined) return false;
+    const isFirst = backoff.nextMs === backoff.untilMs;
+    backoff.nextMs = nowMs + RESUME_INTERVAL_MS;
     return isFirst;
   }
 
-  /** Notes that a server has taken a request that was sent at such a time. */
-  recordAccepted(life: ServerIncarnationKey, sentMs: number): void {
-    const rest = this.#of(life);
-    if (rest !== undefined && sentMs >= rest.untilMs) {
-      this.#rests.delete(life.instance);
+  /** Records that a server accepted a request that was sent at `sentMs`. */
+  recordAccepted(server: ServerIncarnationKey, sentMs: number): void {
+    const backoff = this.#get(server);
+    if (backoff !== undefined && sentMs >= backoff.untilMs) {
+      this.#backoffs.delete(server.instance);
     }
   }
 
-  /** Whether no server has asked for rest lately. */
+  /** Whether no server has requested a backoff recently. */
   get isEmpty(): boolean {
-    return this.#rests.size === 0;
+    return this.#backoffs.size === 0;
   }
 
-  /** Number of servers that rest now. */
+  /** Number of servers in backoff now. */
   count(nowMs: number): number {
-    return [...this.#rests.values()].filter(({ untilMs }) => untilMs > nowMs)
+    return [...this.#backoffs.values()].filter(({ untilMs }) => untilMs > nowMs)
       .length;
   }
 
-  /** The rest of a server, unless it was an earlier life of it that asked. */
-  #of(life: ServerIncarnationKey): Rest | undefined {
-    const rest = this.#rests.get(life.instance);
-    if (rest === undefined || isLaterIncarnation(life, rest.life)) {
+  /** Returns the backoff of a server, unless an earlier incarnation requested it. */
+  #get(server: ServerIncarnationKey): Backoff | undefined {
+    const backoff = this.#backoffs.get(server.instance);
+    if (backoff === undefined || isLaterIncarnation(server, backoff.server)) {
       return undefined;
     }
-    return rest;
+    return backoff;
   }
 
   #expire(nowMs: number): void {
-    for (const [instance, { untilMs }] of this.#rests) {
-      if (nowMs - untilMs > FORGET_AFTER_MS) this.#rests.delete(instance);
+    for (const [instance, { untilMs }] of this.#backoffs) {
+      if (nowMs - untilMs > ENTRY_TTL_MS) this.#backoffs.delete(instance);
     }
   }
 }
--- a/src/core/servers/server_limits.ts
+++ b/src/core/servers/server_limits.ts
@@ -1,4 +1,4 @@
-/** Which backend servers take only so many requests a second from all VMs, as they have said. */
+/** Rate limits that backend servers advertise for the requests of all VMs together. */
 
 import type { InstanceId } from "../ids.ts";
 import {
@@ -6,25 +6,25 @@
   type ServerIncarnationKey,
 } from "./server_record.ts";
 
-/** A limit that has ended is remembered for so long, so that older news does not bring it back. */
-const REMEMBER_ENDED_MS = 60_000;
-/** A limit of which nothing is heard for so long is forgotten: nobody sent there to hear of it. */
-const FORGET_SILENT_MS = 600_000;
+/** How long an ended limit is kept, so that a delayed older notice does not restore it. */
+const ENDED_LIMIT_TTL_MS = 60_000;
+/** How long a limit is kept without a new notice: no VM has sent the server a request meanwhile. */
+const LIMIT_TTL_MS = 600_000;
 
-/** What a server has last said of its limit. */
+/** The limit that a server has advertised last. */
 export interface LimitNotice {
   readonly life: ServerIncarnationKey;
-  /** Requests a second from all VMs; undefined where it has said that there is none any more. */
+  /** Requests per second from all VMs; undefined if the server has withdrawn its limit. */
   readonly limitPerS: number | undefined;
-  /** When it was heard, by the monotonic clock. */
+  /** When it was received, by the monotonic clock. */
   readonly atMs: number;
 }
 
-/** Keeps the newest notice of each server. */
+/** Stores the newest notice of each server. */
 export class ServerLimits {
   readonly #notices = new Map<InstanceId, LimitNotice>();
 
-  /** Takes in a notice; returns whether the limit has changed by it. */
+  /** Receives a notice; returns whether it changed the limit. */
   receive(notice: LimitNotice): boolean {
     const { life, limitPerS, atMs } = notice;
     const stored = this.#notices.get(life.instance);
@@ -41,45 +41,45 @@
   }
 
   /**
-   * Notes that an answer to a request that was sent at `sentMs` names no limit; returns whether one
-   * has ended by it. An answer to a request that was sent before the limit was last heard may be
-   * older than that.
+   * Records that the answer to a request sent at `sentMs` advertises no limit; returns whether that
+   * ended one. Answers to requests sent before the limit was last received are ignored, as they may
+   * be older than the limit.
    */
-  receiveNoLimit(life: ServerIncarnationKey, sentMs: number): boolean {
-    if (this.get(life) === undefined) return false;
-    return this.receive({ life, limitPerS: undefined, atMs: sentMs });
+  receiveNoLimit(server: ServerIncarnationKey, sentMs: number): boolean {
+    if (this.get(server) === undefined) return false;
+    return this.receive({ life: server, limitPerS: undefined, atMs: sentMs });
   }
 
-  /** The limit of a server, in requests a second; undefined where it has none. */
-  get(life: ServerIncarnationKey): number | undefined {
-    const notice = this.#notices.get(life.instance);
-    // An earlier life has named it.
-    if (notice === undefined || isLaterIncarnation(life, notice.life)) {
+  /** Returns the limit of a server, in requests per second; undefined if it has none. */
+  get(server: ServerIncarnationKey): number | undefined {
+    const notice = this.#notices.get(server.instance);
+    // An earlier incarnation advertised it.
+    if (notice === undefined || isLaterIncarnation(server, notice.life)) {
       return undefined;
     }
     return notice.limitPerS;
   }
 
-  /** When the limit of a server has ended; undefined where it has one, or had none lately. */
-  endedAtMs(life: ServerIncarnationKey): number | undefined {
-    const notice = this.#notices.get(life.instance);
+  /** When the limit of a server ended; undefined if it has one, or had none recently. */
+  endedAtMs(server: ServerIncarnationKey): number | undefined {
+    const notice = this.#notices.get(server.instance);
     return notice === undefined || notice.limitPerS !== undefined
       ? undefined
       : notice.atMs;
   }
 
-  /** Whether no server has named a limit lately. */
+  /** Whether no server has advertised a limit recently. */
   get isEmpty(): boolean {
     return this.#notices.size === 0;
   }
 
-  /** All notices, those of limits that have ended lately included. */
+  /** Returns all notices, including those of recently ended limits. */
   notices(nowMs: number): LimitNotice[] {
     this.#expire(nowMs);
     return [...this.#notices.values()];
   }
 
-  /** Number of servers that have a limit now. */
+  /** Number of servers with a limit now. */
   count(nowMs: number): number {
     return this.notices(nowMs)
       .filter(({ limitPerS }) => limitPerS !== undefined).length;
@@ -87,10 +87,8 @@
 
   #expire(nowMs: number): void {
     for (const [instance, { limitPerS, atMs }] of this.#notices) {
-      const keepMs = limitPerS === undefined
-        ? REMEMBER_ENDED_MS
-        : FORGET_SILENT_MS;
-      if (nowMs - atMs > keepMs) this.#notices.delete(instance);
+      const ttlMs = limitPerS === undefined ? ENDED_LIMIT_TTL_MS : LIMIT_TTL_MS;
+      if (nowMs - atMs > ttlMs) this.#notices.delete(instance);
     }
   }
 }
--- a/src/core/servers/server_stall_detector.ts
+++ b/src/core/servers/server_stall_detector.ts
@@ -1,62 +1,62 @@
-/** Tells servers that have fallen silent from those that are only slow. */
+/** Distinguishes servers that have stalled from those that are only slow. */
 
 import type { InstanceId, RouteId } from "../ids.ts";
 
-/** A server that sends nothing for this long is asked whether it still answers. */
-const QUIET_MS = 400;
+/** A server that sends nothing for this long is probed. */
+const PROBE_AFTER_MS = 400;
 /**
- * A server that sends nothing at all for this long, answers to probes included, has
- * fallen silent; two probes may have been lost by then.
+ * A server that sends nothing for this long, not even answers to probes, counts as silent. Up to two
+ * probes may have been lost by then.
  */
 const SERVER_SILENT_MS = 900;
-/** How many times longer than usual a first byte may take before it is given up. */
+/** Multiple of the usual time to first byte after which an attempt is abandoned. */
 const FIRST_BYTE_FACTOR = 6;
-/** Part of the latency objective that a first byte may take in any case. */
-const TARGET_PART = 0.75;
-/** Shortest wait for a first byte: that of a queue, or of one packet lost. */
-const FIRST_BYTE_MIN_MS = 300;
-/** How many times longer than worked out a first byte may take: paces are learnt. */
-const EXPECTED_FACTOR = 3;
-/** Wait for a first byte before any was seen on the route. */
-const FIRST_BYTE_UNKNOWN_MS = 1_500;
-/** Longest pause within a stream while its server talks to others. */
-const STREAM_PAUSE_MS = 1_600;
+/** Fraction of the latency objective that a first byte may always take. */
+const FIRST_BYTE_TARGET_SHARE = 0.75;
+/** Shortest timeout for a first byte: covers a queue or one lost packet. */
+const MIN_FIRST_BYTE_TIMEOUT_MS = 300;
+/** Multiple of the predicted time to first byte that is allowed, as predictions are estimates. */
+const PREDICTED_FACTOR = 3;
+/** Timeout for a first byte before one was received for this kind of request. */
+const INITIAL_TIMEOUT_MS = 1_500;
+/** Longest pause within a stream while its server still sends other bytes. */
+const MAX_STREAM_PAUSE_MS = 1_600;
 /**
- * Servers that have not spoken for this long are forgotten, in milliseconds; nothing that
- * waits for one of them runs as long.
+ * Servers that have sent nothing for this long are removed, in milliseconds. No attempt waits that
+ * long for a server.
  */
-const FORGET_AFTER_MS = 600_000;
-/** Weight of the newest first byte in the usual time. */
-const WEIGHT = 0.1;
+const INACTIVE_TTL_MS = 600_000;
+/** Weight of the newest sample in the moving average of the time to first byte. */
+const FIRST_BYTE_WEIGHT = 0.1;
 
-/** A try that waits for bytes. */
+/** An attempt that waits for bytes. */
 export interface WaitingAttempt {
   readonly instance: InstanceId;
-  /** Stands for requests of the same kind: route and model. */
+  /** Route and model, as `requestKindOf` returns them. */
   readonly kind: string;
   readonly sentMs: number;
-  /** Latency objective of its route; undefined where there is none. */
+  /** Latency objective of the route, in milliseconds; undefined if it has none. */
   readonly targetMs: number | undefined;
-  /** When its first byte was expected as it was sent, in milliseconds from then. */
+  /** Time to first byte predicted when the attempt was sent, in milliseconds. */
   readonly expectedMs: number;
-  /** When its last byte came; undefined before the first. */
+  /** When the last byte was received; undefined before the first. */
   readonly byteMs: number | undefined;
   /**
-   * From when the server may be asked whether it still answers, as one that rests may not;
-   * undefined where it always might. Nothing is made of its silence before.
+   * When probes of the server are allowed again, as servers in backoff must not be probed;
+   * undefined if they always were. Its silence before that time does not count.
    */
   readonly askableMs: number | undefined;
 }
 
-/** Why a try is given up. */
+/** Why an attempt is abandoned. */
 export type StallReason =
   | "server_silent"
   | "no_first_byte"
   | "stream_paused"
-  /** Its server has started again, and runs nothing of before. */
+  /** The server has restarted and no longer runs the request. */
   | "server_restarted";
 
-/** Names a kind of request. */
+/** Returns the key of a kind of request: its route and model. */
 export function requestKindOf(
   route: RouteId,
   model: string | undefined,
@@ -64,68 +64,76 @@
   return `${route}/${model ?? ""}`;
 }
 
-/** Keeps when servers last spoke, and how long first bytes take. */
+/** Tracks when servers last sent bytes, and the usual time to first byte of each kind of request. */
 export class ServerStallDetector {
-  readonly #spokeMs = new Map<InstanceId, number>();
+  readonly #lastActivityMs = new Map<InstanceId, number>();
   readonly #firstByteMs = new Map<string, number>();
 
-  /** Notes a byte of a server. */
+  /** Records that a server has sent a byte. */
   recordActivity(instance: InstanceId, nowMs: number): void {
-    this.#spokeMs.set(instance, nowMs);
+    this.#lastActivityMs.set(instance, nowMs);
   }
 
-  /** Notes how long a first byte took. */
+  /** Records the time to first byte of an attempt. */
   recordFirstByte(kind: string, ms: number): void {
     const known = this.#firstByteMs.get(kind);
-    const next = known === undefined ? ms : known + WEIGHT * (ms - known);
+    const next = known === undefined
+      ? ms
+      : known + FIRST_BYTE_WEIGHT * (ms - known);
     this.#firstByteMs.set(kind, next);
   }
 
   /**
-   * Forgets servers that have not spoken for long, as when some are gone. One that only
-   * takes no new work is still at what it has, and must not look as if it had never spoken.
+   * Removes servers that have sent nothing for long. Servers that only take no new work are kept:
+   * they still run requests, which must not look as if their server had never sent anything.
    */
   removeInactive(nowMs: number): void {
-    for (const [instance, spokeMs] of this.#spokeMs) {
-      if (nowMs - spokeMs > FORGET_AFTER_MS) this.#spokeMs.delete(instance);
+    for (const [instance, atMs] of this.#lastActivityMs) {
+      if (nowMs - atMs > INACTIVE_TTL_MS) this.#lastActivityMs.delete(instance);
     }
   }
 
-  /** Says why a try should be given up now, if it should. */
+  /** Returns why an attempt should be abandoned now; undefined if it should not. */
   detectStall(waiting: WaitingAttempt, nowMs: number): StallReason | undefined {
     const { sentMs, byteMs } = waiting;
-    if (this.#quietMs(waiting, nowMs) >= SERVER_SILENT_MS) {
+    if (this.#silentMs(waiting, nowMs) >= SERVER_SILENT_MS) {
       return "server_silent";
     }
     if (byteMs !== undefined) {
-      return nowMs - byteMs >= STREAM_PAUSE_MS ? "stream_paused" : undefined;
+      return nowMs - byteMs >= MAX_STREAM_PAUSE_MS
+        ? "stream_paused"
+        : undefined;
     }
     const waitedMs = nowMs - sentMs;
-    return waitedMs >= this.#patienceMs(waiting) ? "no_first_byte" : undefined;
+    return waitedMs >= this.#firstByteTimeoutMs(waiting)
+      ? "no_first_byte"
+      : undefined;
   }
 
-  /** Whether the server of a try should be asked if it still answers. */
+  /** Whether the server of an attempt should be probed. */
   needsProbe(waiting: WaitingAttempt, nowMs: number): boolean {
-    return this.#quietMs(waiting, nowMs) >= QUIET_MS;
+    return this.#silentMs(waiting, nowMs) >= PROBE_AFTER_MS;
   }
 
-  #quietMs(
+  #silentMs(
     { instance, sentMs, byteMs, askableMs = 0 }: WaitingAttempt,
     nowMs: number,
   ): number {
-    const spokeMs = this.#spokeMs.get(instance) ?? 0;
-    return nowMs - Math.max(spokeMs, byteMs ?? sentMs, askableMs);
+    const lastActivityMs = this.#lastActivityMs.get(instance) ?? 0;
+    return nowMs - Math.max(lastActivityMs, byteMs ?? sentMs, askableMs);
   }
 
-  #patienceMs({ kind, targetMs = 0, expectedMs }: WaitingAttempt): number {
+  #firstByteTimeoutMs(
+    { kind, targetMs = 0, expectedMs }: WaitingAttempt,
+  ): number {
     const usual = this.#firstByteMs.get(kind);
-    const byWork = EXPECTED_FACTOR * expectedMs;
-    if (usual === undefined) return Math.max(FIRST_BYTE_UNKNOWN_MS, byWork);
+    const predictedMs = PREDICTED_FACTOR * expectedMs;
+    if (usual === undefined) return Math.max(INITIAL_TIMEOUT_MS, predictedMs);
     return Math.max(
-      FIRST_BYTE_MIN_MS,
+      MIN_FIRST_BYTE_TIMEOUT_MS,
       FIRST_BYTE_FACTOR * usual,
-      TARGET_PART * targetMs,
-      byWork,
+      FIRST_BYTE_TARGET_SHARE * targetMs,
+      predictedMs,
     );
   }
 }
--- a/src/core/servers/unacked_attempts.ts
+++ b/src/core/servers/unacked_attempts.ts
@@ -1,7 +1,7 @@
 /**
- * Attempts that their backend servers have not shown to have read. The bytes of an attempt may lie
- * in the socket buffers of a server that has stopped, and arrive long after they were written.
- * Closing the connection does not take them back.
+ * Attempts that their backend servers are not known to have read. The bytes of an attempt may stay in
+ * the socket buffers of a stopped server and be read long after they were written, even if the
+ * connection was closed meanwhile.
  */
 
 import type { InstanceId } from "../ids.ts";
@@ -10,11 +10,11 @@
   type ServerIncarnationKey,
 } from "./server_record.ts";
 
-/** Age from which an attempt is taken to be lost, in milliseconds. */
-const LOST_MS = 60_000;
-/** Time in which a running server reads what it is sent, and its bytes reach this VM, in milliseconds. */
-const READ_MS = 100;
-/** Age of an attempt from which its server is unresponsive, in milliseconds. */
+/** Age from which an attempt counts as lost, in milliseconds. */
+const ATTEMPT_TTL_MS = 60_000;
+/** Time in which a running server reads a request and bytes that it sends reach this VM, in milliseconds. */
+const READ_DELAY_MS = 100;
+/** Age of an unacknowledged attempt from which its server counts as unresponsive, in milliseconds. */
 export const UNRESPONSIVE_MS = 900;
 
 interface UnackedAttempt {
@@ -23,62 +23,62 @@
 }
 
 interface ServerAttempts {
-  life: ServerIncarnationKey;
-  /** In the order in which they were sent. */
+  key: ServerIncarnationKey;
+  /** In the order in which the attempts were sent. */
   attempts: UnackedAttempt[];
 }
 
-/** What a server has left unacknowledged. */
+/** The unacknowledged attempts of a server. */
 export interface UnackedState {
   readonly count: number;
-  /** Age of the oldest, in milliseconds; 0 where there is none. */
+  /** Age of the oldest attempt, in milliseconds; 0 if there is none. */
   readonly oldestMs: number;
-  /** Age of the newest, in milliseconds; 0 where there is none. */
+  /** Age of the newest attempt, in milliseconds; 0 if there is none. */
   readonly newestMs: number;
 }
 
-/** Keeps them for all servers. */
+/** Tracks the unacknowledged attempts of all servers. */
 export class UnackedAttempts {
   readonly #servers = new Map<InstanceId, ServerAttempts>();
 
-  /** Notes that the first byte of an attempt leaves; `onAcked` is called once it can't arrive later. */
+  /** Records that the first byte of an attempt is written; `onAcked` is called once the server has read it or no longer can. */
   recordSent(
     server: ServerIncarnationKey,
     { nowMs, onAcked }: { nowMs: number; onAcked: () => void },
   ): void {
     this.#of(server).attempts.push({ sentMs: nowMs, onAcked });
-    // At all servers: one that never comes back is sent nothing more, and would keep its attempts.
+    // At all servers: one that never recovers gets no new attempts, so its old ones would stay.
     for (const instance of [...this.#servers.keys()]) {
-      this.#ack(instance, (one) => nowMs - one.sentMs > LOST_MS);
+      this.#ack(instance, (attempt) => nowMs - attempt.sentMs > ATTEMPT_TTL_MS);
     }
   }
 
   /**
-   * Notes that a server has answered something that was sent at `sentMs`. It was running then, and
-   * so has read all that had reached it before.
+   * Records that a server has answered a request sent at `sentMs`. As it has run since, it has also
+   * read every attempt that was sent before.
    */
   recordAnswer(server: ServerIncarnationKey, sentMs: number): void {
     const known = this.#servers.get(server.instance);
-    if (known === undefined || isLaterIncarnation(known.life, server)) return;
-    this.#ack(server.instance, (one) => one.sentMs <= sentMs);
+    if (known === undefined || isLaterIncarnation(known.key, server)) return;
+    this.#ack(server.instance, (attempt) => attempt.sentMs <= sentMs);
   }
 
-  /** Notes a byte of any answer: its server runs, and has read what it was sent some time before. */
+  /** Records a byte of any answer: the server runs and has read attempts older than `READ_DELAY_MS`. */
   recordActivity(server: ServerIncarnationKey, nowMs: number): void {
-    this.recordAnswer(server, nowMs - READ_MS);
+    this.recordAnswer(server, nowMs - READ_DELAY_MS);
   }
 
-  /** Notes that the connection of an attempt was closed from the other side. */
+  /** Records that the server has closed the connection of an attempt. */
   recordClosed({ instance }: ServerIncarnationKey, sentMs: number): void {
-    this.#ack(instance, (one) => one.sentMs === sentMs);
+    this.#ack(instance, (attempt) => attempt.sentMs === sentMs);
   }
 
-  /** Notes that no process listens at a server's address: its buffers are discarded. */
+  /** Records that no process listens at a server's address, so its socket buffers are gone. */
   recordServerExit({ instance }: ServerIncarnationKey): void {
     this.#ack(instance, () => true);
   }
 
-  /** What a server has left unacknowledged. */
+  /** Returns the unacknowledged attempts of a server. */
   state({ instance }: ServerIncarnationKey, nowMs: number): UnackedState {
     const attempts = this.#servers.get(instance)?.attempts ?? [];
     return {
@@ -88,19 +88,19 @@
     };
   }
 
-  /** Whether a server has left an attempt unacknowledged for so long that it may have stopped. */
+  /** Whether an attempt has been unacknowledged for so long that its server may have stopped. */
   isUnresponsive(server: ServerIncarnationKey, nowMs: number): boolean {
     return this.state(server, nowMs).oldestMs >= UNRESPONSIVE_MS;
   }
 
   #of(server: ServerIncarnationKey): ServerAttempts {
     const known = this.#servers.get(server.instance);
-    // The buffers of an earlier life were discarded with it.
-    if (known !== undefined && isLaterIncarnation(server, known.life)) {
+    // The socket buffers of an earlier incarnation are gone.
+    if (known !== undefined && isLaterIncarnation(server, known.key)) {
       this.recordServerExit(server);
     }
     const kept = this.#servers.get(server.instance) ??
-      { life: server, attempts: [] };
+      { key: server, attempts: [] };
     this.#servers.set(server.instance, kept);
     return kept;
   }
@@ -113,7 +113,7 @@
     if (known === undefined) return;
     const acked = known.attempts.filter(isAcked);
     if (acked.length === 0) return;
-    known.attempts = known.attempts.filter((one) => !isAcked(one));
+    known.attempts = known.attempts.filter((attempt) => !isAcked(attempt));
     if (known.attempts.length === 0) this.#servers.delete(instance);
     for (const { onAcked } of acked) onAcked();
   }
