--- a/src/core/servers/cold_servers.ts
+++ b/src/core/servers/cold_servers.ts
@@ -1,15 +1,15 @@
-/** Which backend servers have turned cold, and bear little work until they are warm again. */
+/** Backend servers that are cold, and can handle little load until they have warmed up. */
 
 import type { InstanceId } from "../ids.ts";
 
-/** Keeps until when servers are cold, by the monotonic clock. */
+/** Stores when each cold server will be warm, by the monotonic clock. */
 export class ColdServers {
   readonly #untilMs = new Map<InstanceId, number>();
 
   /**
-   * Notes that a server is cold for a while yet, in milliseconds. News come late, so the end
-   * that is latest holds: a server is taken as cold for too long rather than for too short.
-   * Returns whether it was taken as warm before.
+   * Marks a server as cold for another `leftMs` milliseconds. Updates can be delayed, so the latest end
+   * is kept: it is safer to treat a server as cold for too long than for too short.
+   * Returns whether the server counted as warm before.
    */
   markCold(
     instance: InstanceId,
@@ -21,12 +21,12 @@
     return known <= nowMs;
   }
 
-  /** Milliseconds until a server is warm; 0 when it is. */
+  /** Milliseconds until a server is warm; 0 if it is. */
   leftMs(instance: InstanceId, nowMs: number): number {
     return Math.max(0, (this.#untilMs.get(instance) ?? 0) - nowMs);
   }
 
-  /** Number of servers that are cold now. */
+  /** Number of cold servers. */
   count(nowMs: number): number {
     for (const [instance, untilMs] of this.#untilMs) {
       if (untilMs <= nowMs) this.#untilMs.delete(instance);
--- a/src/core/servers/cold_servers_test.ts
+++ b/src/core/servers/cold_servers_test.ts
@@ -6,7 +6,7 @@
 const SERVER = "i-1" as InstanceId;
 
 describe("cold servers", () => {
-  it("should take a server as cold for as long as it tells", () => {
+  it("should treat a server as cold for as long as it reports", () => {
     const servers = new ColdServers();
     assert.equal(servers.markCold(SERVER, { leftMs: 3_000, nowMs: 100 }), true);
     assert.equal(servers.leftMs(SERVER, 1_100), 2_000);
@@ -14,7 +14,7 @@
     assert.equal(servers.count(3_100), 0);
   });
 
-  it("should not take a server as warm by word from before it turned cold", () => {
+  it("should not treat a server as warm because of an outdated report", () => {
     const servers = new ColdServers();
     servers.markCold(SERVER, { leftMs: 3_000, nowMs: 0 });
     assert.equal(servers.markCold(SERVER, { leftMs: 0, nowMs: 1_000 }), false);
@@ -25,7 +25,7 @@
     assert.equal(servers.leftMs(SERVER, 1_000), 2_000);
   });
 
-  it("should take a server as cold anew that has turned cold again", () => {
+  it("should mark a server as cold again after it was warm", () => {
     const servers = new ColdServers();
     servers.markCold(SERVER, { leftMs: 3_000, nowMs: 0 });
     assert.equal(
--- a/src/core/servers/prefill_time_estimator.ts
+++ b/src/core/servers/prefill_time_estimator.ts
@@ -1,67 +1,70 @@
-/** How fast model servers read prompts, learnt from the times to their first tokens. */
+/** Estimates the prefill time of model servers per prompt token from observed times to first token. */
 
 import type { ModelId, ServiceId } from "../ids.ts";
 
-/** Time to a first token that does not grow with the prompt, in milliseconds. */
+/** Part of the time to first token that does not depend on the prompt length, in milliseconds. */
 const BASE_MS = 20;
-/** Shorter prompts say little beside the base and the way there, in tokens. */
+/** Shortest prompt that is evaluated, in tokens: in shorter ones, `BASE_MS` and the network latency dominate. */
 const MIN_TOKENS = 500;
-/** Answers that are remembered of each model: of the last minute or so on a busy VM. */
-const REMEMBERED = 64;
-/** Answers, at least, before they count more than the prior. */
-const MIN_ANSWERS = 6;
+/** Samples kept per model: about the last minute on a busy VM. */
+const MAX_SAMPLES = 64;
+/** Samples required before there is an estimate; callers use a default until then. */
+const MIN_SAMPLES = 6;
 /**
- * Quantile of the times a token that is taken as the pace. Others wait in a queue or read
- * shared parts as well, so that the pace is near the least that was seen.
+ * Quantile of the times per token that is used as the estimate. It is low because many samples
+ * include time in a queue or for shared parts of the prompt.
  */
 const QUANTILE = 0.15;
-/** Answers after which the pace is worked out anew. */
-const RENEW_EVERY = 4;
+/** Number of samples after which the estimate is recomputed. */
+const RECOMPUTE_INTERVAL = 4;
 
-/** A first token that has come. */
+/** Observation of a first token. */
 export interface PrefillSample {
   readonly service: ServiceId;
   readonly model: ModelId;
-  /** Prompt tokens that the server must have read: those not shared with others. */
+  /** Prompt tokens that the server had to process: those not shared with other prompts. */
   readonly tokens: number;
-  /** From sending to the first byte, in milliseconds. */
+  /** Time from sending the request to the first byte, in milliseconds. */
   readonly elapsedMs: number;
 }
 
-interface Row {
+interface Estimate {
   readonly msPerToken: number[];
   count: number;
-  pace: number | undefined;
+  value: number | undefined;
 }
 
-/** Paces by service and model. */
+/** Estimates by service and model. */
 export class PrefillTimeEstimator {
-  readonly #rows = new Map<string, Row>();
+  readonly #estimates = new Map<string, Estimate>();
 
-  /** Takes in how long a first token took. */
+  /** Records an observation. */
   observe({ service, model, tokens, elapsedMs }: PrefillSample): void {
     if (tokens < MIN_TOKENS) return;
-    const row = this.#row(service, model);
-    row.msPerToken[row.count % REMEMBERED] = Math.max(0, elapsedMs - BASE_MS) /
+    const estimate = this.#estimateOf(service, model);
+    estimate.msPerToken[estimate.count % MAX_SAMPLES] =
+      Math.max(0, elapsedMs - BASE_MS) /
       tokens;
-    row.count += 1;
-    if (row.count >= MIN_ANSWERS && row.count % RENEW_EVERY === 0) {
-      row.pace = quantile(row.msPerToken);
+    estimate.count += 1;
+    if (
+      estimate.count >= MIN_SAMPLES && estimate.count % RECOMPUTE_INTERVAL === 0
+    ) {
+      estimate.value = quantile(estimate.msPerToken);
     }
   }
 
-  /** Milliseconds a prompt token; undefined before enough was seen. */
+  /** Estimated milliseconds per prompt token; undefined before there are enough samples. */
   msPerToken(service: ServiceId, model: ModelId): number | undefined {
-    return this.#rows.get(`${service}/${model}`)?.pace;
+    return this.#estimates.get(`${service}/${model}`)?.value;
   }
 
-  #row(service: ServiceId, model: ModelId): Row {
+  #estimateOf(service: ServiceId, model: ModelId): Estimate {
     const key = `${service}/${model}`;
-    const known = this.#rows.get(key);
+    const known = this.#estimates.get(key);
     if (known !== undefined) return known;
-    const row: Row = { msPerToken: [], count: 0, pace: undefined };
-    this.#rows.set(key, row);
-    return row;
+    const estimate: Estimate = { msPerToken: [], count: 0, value: undefined };
+    this.#estimates.set(key, estimate);
+    return estimate;
   }
 }
 
--- a/src/core/servers/roll_out_order.ts
+++ b/src/core/servers/roll_out_order.ts
@@ -1,18 +1,18 @@
-/** A roll-out of a new release of a service, as operators order it. */
+/** An order of an operator to roll out a new release of a service. */
 
 import type { ReleaseId, ServiceId } from "../ids.ts";
 
-/** How far a roll-out has come. */
+/** Progress of a roll-out. */
 export type RollOutState = "in_progress" | "completed" | "rolled_back";
 
-/** One order. */
+/** A roll-out order with its recorded state. */
 export interface RollOutOrder {
   readonly service: ServiceId;
   readonly release: ReleaseId;
-  /** Time from the order within which it should be completed, in milliseconds. */
+  /** Time limit for completion, counted from the order, in milliseconds. */
   readonly limitMs: number;
-  /** Undefined until an entry VM has written it. */
+  /** Undefined until an entry VM has recorded it. */
   readonly state: RollOutState | undefined;
-  /** Release that the state is about; an older one where the order is new. */
+  /** Release to which `state` refers; an older release if the order is new. */
   readonly stateRelease: ReleaseId | undefined;
 }
--- a/src/core/servers/server_directory.ts
+++ b/src/core/servers/server_directory.ts
@@ -1,4 +1,4 @@
-/** Which backend servers there are, by the lagging list in the platform's store. */
+/** Directory of backend servers, as listed in the platform's store; the list lags behind. */
 
 import type { DataCentreId, InstanceId, ServiceId } from "../ids.ts";
 import {
@@ -8,23 +8,23 @@
 } from "./server_record.ts";
 
 /**
- * How long a server that vanished from the list around an outage of the store is still
- * used after the store is back, in milliseconds. Servers that live write themselves
- * down again within about two seconds, as the users promise.
+ * How long a server whose entry vanished around an outage of the store is still used after the
+ * store has recovered, in milliseconds. Running servers are specified to list themselves again
+ * within about two seconds.
  */
 export const RELISTING_GRACE_MS = 2_000;
-/** Leaving lives that are kept; the oldest are forgotten first. Far more than leave in a day. */
-const MOST_LEAVING = 10_000;
+/** Leaving incarnations that are kept, oldest evicted first; far more than leave in a day. */
+const MAX_LEAVING_SERVERS = 10_000;
 
-/** Why a server gets no new work any more. */
+/** Why a server gets no more new work. */
 export type RemovalReason =
   | "draining"
-  /** Has said in an answer that it is about to leave. */
+  /** The server announced in an answer that it is about to leave. */
   | "leaving"
-  /** Its process has started again under the same id. */
+  /** The server has restarted under the same id. */
   | "restarted"
   | "left"
-  /** Its entry no longer names a server. */
+  /** The entry of the server can no longer be decoded. */
   | "unreadable"
   | "not_listed_again"
   | "misdirected";
@@ -39,23 +39,23 @@
     readonly reason: RemovalReason;
   };
 
-interface Row {
+interface Entry {
   record: ServerRecord;
-  /** Set while the entry is missing because of an outage of the store. */
-  lapsed: boolean;
-  /** Answered as another instance; used again only once the list renews it. */
-  misdirected: boolean;
+  /** Whether the entry is missing, presumably because of an outage of the store. */
+  isMissing: boolean;
+  /** Whether another instance answered at its address; used again once the entry is renewed. */
+  isMisdirected: boolean;
 }
 
-/** State of the connection to the store, as far as it explains missing entries. */
+/** Availability of the store, which may explain missing entries. */
 export interface StoreHealth {
-  /** Whether calls of the store work now. */
+  /** Whether calls to the store succeed now. */
   readonly reachable: boolean;
-  /** When the store last came back, by the monotonic clock; undefined if it never left. */
+  /** When the store last recovered, by the monotonic clock; undefined if it was never unreachable. */
   readonly recoveredAtMs: number | undefined;
 }
 
-/** A life of a server that has said that it leaves. */
+/** An incarnation of a server that has announced that it is leaving. */
 export interface LeavingServer {
   readonly instance: InstanceId;
   readonly bornMs: number;
@@ -63,210 +63,216 @@
 
 /** All known servers. */
 export class ServerDirectory {
-  readonly #rows = new Map<InstanceId, Row>();
+  readonly #entries = new Map<InstanceId, Entry>();
   readonly #evacuated = new Set<DataCentreId>();
   /**
-   * Lives that have said that they leave. Kept apart from rows: a list that lags may name such a
-   * server as ready for long, drop it and name it again.
+   * Incarnations that have announced that they are leaving. Kept apart from the entries, as the lagging
+   * list may show such a server as ready for long, drop it and show it again.
    */
   readonly #leaving = new Map<InstanceId, ServerIncarnationKey>();
   #byService = new Map<ServiceId, ServerRecord[]>();
 
-  /** Servers of a service that take new work. */
+  /** Returns the servers of a service that take new work. */
   usable(service: ServiceId): readonly ServerRecord[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** Number of addresses at which a service has servers, whether or not they take new work. */
+  /** Number of distinct addresses of the servers of a service, whether or not they take new work. */
   addressCountOf(service: ServiceId): number {
-    const addresses = [...this.#rows.values()]
+    const addresses = [...this.#entries.values()]
       .filter(({ record }) => record.service === service)
       .map(({ record }) => record.address);
     return new Set(addresses).size;
   }
 
-  /** Returns a server whether or not it takes new work. */
+  /** Returns a server, whether or not it takes new work. */
   get(instance: InstanceId): ServerRecord | undefined {
-    return this.#rows.get(instance)?.record;
+    return this.#entries.get(instance)?.record;
   }
 
   /** Whether a server takes new work now. */
   isUsable(instance: InstanceId): boolean {
-    const row = this.#rows.get(instance);
-    return row !== undefined && this.#takesWork(row);
+    const entry = this.#entries.get(instance);
+    return entry !== undefined && this.#acceptsWork(entry);
   }
 
-  /** Data centres whose servers get no new work, whatever their own state. */
+  /** Data centres whose servers get no new work, whatever their own state is. */
   get evacuated(): ReadonlySet<DataCentreId> {
     return this.#evacuated;
   }
 
-  /** Servers of a data centre, whether or not they take new work. */
+  /** Returns the servers of a data centre, whether or not they take new work. */
   serversIn(dataCentre: DataCentreId): ServerRecord[] {
-    return [...this.#rows.values()]
+    return [...this.#entries.values()]
       .map(({ record }) => record)
       .filter((record) => record.dataCentre === dataCentre);
   }
 
   /**
-   * Keeps new work from the servers of a data centre, or gives it to them again. What runs
-   * there goes on. Returns whether that is a change.
+   * Sets whether a data centre is evacuated, so that its servers get no new work; running requests
+   * continue. Returns whether this is a change.
    */
   setEvacuated(dataCentre: DataCentreId, evacuated: boolean): boolean {
     if (this.#evacuated.has(dataCentre) === evacuated) return false;
     if (evacuated) this.#evacuated.add(dataCentre);
     else this.#evacuated.delete(dataCentre);
-    this.#rebuild();
+    this.#rebuildIndex();
     return true;
   }
 
-  /** Number of servers that are known. */
+  /** Number of known servers. */
   get size(): number {
-    return this.#rows.size;
+    return this.#entries.size;
   }
 
-  /** Takes in the entry of one server. */
-  put(told: ServerRecord): DirectoryChange[] {
-    const row = this.#rows.get(told.instance);
-    // News of an earlier life may come late, by a stale read or another VM.
-    if (row !== undefined && isLaterIncarnation(row.record, told)) return [];
-    const record = { ...told, bornMs: told.bornMs ?? row?.record.bornMs };
-    this.#rows.set(record.instance, {
+  /** Adds or updates the entry of one server. */
+  put(listed: ServerRecord): DirectoryChange[] {
+    const entry = this.#entries.get(listed.instance);
+    // A stale read or another VM may deliver the entry of an earlier incarnation late.
+    if (entry !== undefined && isLaterIncarnation(entry.record, listed)) {
+      return [];
+    }
+    const record = { ...listed, bornMs: listed.bornMs ?? entry?.record.bornMs };
+    this.#entries.set(record.instance, {
       record,
-      lapsed: false,
-      misdirected: false,
+      isMissing: false,
+      isMisdirected: false,
     });
-    this.#rebuild();
-    if (row === undefined) return [{ tag: "added", server: record }];
-    if (isLaterIncarnation(record, row.record)) {
+    this.#rebuildIndex();
+    if (entry === undefined) return [{ tag: "added", server: record }];
+    if (isLaterIncarnation(record, entry.record)) {
       return [
-        { tag: "removed", server: row.record, reason: "restarted" },
+        { tag: "removed", server: entry.record, reason: "restarted" },
         { tag: "added", server: record },
       ];
     }
-    if (row.record.state === "ready" && record.state === "draining") {
+    if (entry.record.state === "ready" && record.state === "draining") {
       return [{ tag: "removed", server: record, reason: "draining" }];
     }
     return [];
   }
 
-  /** Notes that the entry of a server is gone from the list. */
+  /** Records that the entry of a server has vanished from the list. */
   remove(
     instance: InstanceId,
     { health, nowMs }: { health: StoreHealth; nowMs: number },
   ): DirectoryChange[] {
-    const row = this.#rows.get(instance);
-    if (row === undefined || row.lapsed) return [];
-    if (row.record.state === "ready" && mayBeRelisted(health, nowMs)) {
-      row.lapsed = true;
-      return [{ tag: "lapsed", server: row.record }];
+    const entry = this.#entries.get(instance);
+    if (entry === undefined || entry.isMissing) return [];
+    if (entry.record.state === "ready" && mayBeListedAgain(health, nowMs)) {
+      entry.isMissing = true;
+      return [{ tag: "lapsed", server: entry.record }];
     }
-    return this.#drop(row, "left");
+    return this.#removeEntry(entry, "left");
   }
 
   /**
-   * Notes that the entry of a server is there, but no longer names one. Unlike one that is
-   * missing after an outage, it is not waited for.
+   * Records that the entry of a server can no longer be decoded. The server is removed immediately,
+   * without the grace period for entries that are missing after an outage.
    */
   markUnreadable(instance: InstanceId): DirectoryChange[] {
-    const row = this.#rows.get(instance);
-    return row === undefined ? [] : this.#drop(row, "unreadable");
+    const entry = this.#entries.get(instance);
+    return entry === undefined ? [] : this.#removeEntry(entry, "unreadable");
   }
 
-  /** Takes in the whole list. */
+  /** Replaces all entries by a complete list. */
   replaceAll(
     records: readonly ServerRecord[],
     at: { health: StoreHealth; nowMs: number },
   ): DirectoryChange[] {
     const listed = new Set(records.map((record) => record.instance));
-    const missing = [...this.#rows.keys()].filter((id) => !listed.has(id));
+    const missing = [...this.#entries.keys()].filter((id) => !listed.has(id));
     return [
       ...records.flatMap((record) => this.put(record)),
       ...missing.flatMap((id) => this.remove(id, at)),
     ];
   }
 
-  /** Gives up on servers that were not listed again in time. */
+  /** Removes servers that were not listed again within `RELISTING_GRACE_MS`. */
   removeExpired(
     { health, nowMs }: { health: StoreHealth; nowMs: number },
   ): DirectoryChange[] {
-    if (mayBeRelisted(health, nowMs)) return [];
-    return [...this.#rows.values()]
-      .filter((row) => row.lapsed)
-      .flatMap((row) => this.#drop(row, "not_listed_again"));
+    if (mayBeListedAgain(health, nowMs)) return [];
+    return [...this.#entries.values()]
+      .filter((entry) => entry.isMissing)
+      .flatMap((entry) => this.#removeEntry(entry, "not_listed_again"));
   }
 
   /**
-   * Notes that a server has said that it leaves. It gets no new work in this life any more,
-   * whatever its entry says; what runs there goes on.
+   * Records that a server has announced that it is leaving. This incarnation gets no more new work,
+   * whatever its entry says; running requests continue.
    */
   markLeaving({ instance, bornMs }: ServerIncarnationKey): DirectoryChange[] {
-    const row = this.#rows.get(instance);
-    if (row !== undefined && isLaterIncarnation(row.record, { bornMs })) {
+    const entry = this.#entries.get(instance);
+    if (entry !== undefined && isLaterIncarnation(entry.record, { bornMs })) {
+      return [];
+    }
+    const leaving = this.#leaving.get(instance);
+    if (leaving !== undefined && !isLaterIncarnation({ bornMs }, leaving)) {
       return [];
     }
-    const said = this.#leaving.get(instance);
-    if (said !== undefined && !isLaterIncarnation({ bornMs }, said)) return [];
     this.#leaving.set(instance, { instance, bornMs });
-    this.#boundLeaving();
-    if (row === undefined) return [];
-    this.#rebuild();
-    return [{ tag: "removed", server: row.record, reason: "leaving" }];
+    this.#evictOldestLeaving();
+    if (entry === undefined) return [];
+    this.#rebuildIndex();
+    return [{ tag: "removed", server: entry.record, reason: "leaving" }];
   }
 
   /**
-   * Lives of known servers that have said that they leave. One without a birth is not told of:
-   * it could not be told from what comes under its id later.
+   * Returns the known servers that have announced that they are leaving. Servers without a start time
+   * are left out, as they cannot be distinguished from later incarnations with the same id.
    */
   leavingServers(): LeavingServer[] {
     return [...this.#leaving.values()].flatMap(({ instance, bornMs }) =>
-      bornMs === undefined || !this.#rows.has(instance)
+      bornMs === undefined || !this.#entries.has(instance)
         ? []
         : [{ instance, bornMs }]
     );
   }
 
-  /** Notes that another server answers at the address. */
+  /** Records that another server answers at the address of this one. */
   misdirected(instance: InstanceId): DirectoryChange[] {
-    const row = this.#rows.get(instance);
-    if (row === undefined || row.misdirected) return [];
-    row.misdirected = true;
-    this.#rebuild();
-    return [{ tag: "removed", server: row.record, reason: "misdirected" }];
+    const entry = this.#entries.get(instance);
+    if (entry === undefined || entry.isMisdirected) return [];
+    entry.isMisdirected = true;
+    this.#rebuildIndex();
+    return [{ tag: "removed", server: entry.record, reason: "misdirected" }];
   }
 
-  #takesWork({ record, misdirected }: Row): boolean {
-    return record.state === "ready" && !misdirected &&
+  #acceptsWork({ record, isMisdirected }: Entry): boolean {
+    return record.state === "ready" && !isMisdirected &&
       !this.#evacuated.has(record.dataCentre) && !this.#isLeaving(record);
   }
 
   #isLeaving(record: ServerRecord): boolean {
-    const said = this.#leaving.get(record.instance);
-    return said !== undefined && !isLaterIncarnation(record, said);
+    const leaving = this.#leaving.get(record.instance);
+    return leaving !== undefined && !isLaterIncarnation(record, leaving);
   }
 
-  #boundLeaving(): void {
+  #evictOldestLeaving(): void {
     const [oldest] = this.#leaving.keys();
-    if (this.#leaving.size <= MOST_LEAVING || oldest === undefined) return;
+    if (this.#leaving.size <= MAX_LEAVING_SERVERS || oldest === undefined) {
+      return;
+    }
     this.#leaving.delete(oldest);
   }
 
-  #drop(row: Row, reason: RemovalReason): DirectoryChange[] {
-    const { instance } = row.record;
-    this.#rows.delete(instance);
-    // Without a birth, nothing tells what comes under this id from what has left.
+  #removeEntry(entry: Entry, reason: RemovalReason): DirectoryChange[] {
+    const { instance } = entry.record;
+    this.#entries.delete(instance);
+    // Without a start time, a later incarnation cannot be distinguished from the one that left.
     if (this.#leaving.get(instance)?.bornMs === undefined) {
       this.#leaving.delete(instance);
     }
-    this.#rebuild();
-    return [{ tag: "removed", server: row.record, reason }];
+    this.#rebuildIndex();
+    return [{ tag: "removed", server: entry.record, reason }];
   }
 
-  #rebuild(): void {
+  #rebuildIndex(): void {
     this.#byService = new Map();
-    for (const row of this.#rows.values()) {
-      if (!this.#takesWork(row)) continue;
-      const { record } = row;
+    for (const entry of this.#entries.values()) {
+      if (!this.#acceptsWork(entry)) continue;
+      const { record } = entry;
       const servers = this.#byService.get(record.service) ?? [];
       servers.push(record);
       this.#byService.set(record.service, servers);
@@ -274,7 +280,7 @@
   }
 }
 
-function mayBeRelisted(health: StoreHealth, nowMs: number): boolean {
+function mayBeListedAgain(health: StoreHealth, nowMs: number): boolean {
   if (!health.reachable) return true;
   const { recoveredAtMs } = health;
   return recoveredAtMs !== undefined &&
--- a/src/core/servers/server_directory_test.ts
+++ b/src/core/servers/server_directory_test.ts
@@ -6,7 +6,7 @@
 
 const SERVICE = "tracker" as ServiceId;
 const HEALTHY = { reachable: true, recoveredAtMs: undefined };
-const AWAY = { reachable: false, recoveredAtMs: undefined };
+const UNREACHABLE = { reachable: false, recoveredAtMs: undefined };
 
 function namesOf(directory: ServerDirectory): string[] {
   return directory.usable(SERVICE).map(({ instance }) => instance).sort();
@@ -22,46 +22,49 @@
     assert.equal(changes[0]?.tag, "removed");
   });
 
-  it("should drop a server whose entry goes while the store is healthy", () => {
+  it("should remove a server whose entry vanishes while the store is healthy", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a"));
     directory.remove("a" as InstanceId, { health: HEALTHY, nowMs: 10_000 });
     assert.deepEqual(namesOf(directory), []);
   });
 
-  it("should keep a server that lapsed with the store until it can be listed again", () => {
+  it("should keep a server whose entry vanished with the store until it can be listed again", () => {
     const directory = new ServerDirectory();
     directory.replaceAll([serverRecord("a"), serverRecord("b")], {
       health: HEALTHY,
       nowMs: 0,
     });
-    const back = { reachable: true, recoveredAtMs: 10_000 };
-    directory.replaceAll([serverRecord("b")], { health: back, nowMs: 10_000 });
+    const recovered = { reachable: true, recoveredAtMs: 10_000 };
+    directory.replaceAll([serverRecord("b")], {
+      health: recovered,
+      nowMs: 10_000,
+    });
     assert.deepEqual(namesOf(directory), ["a", "b"]);
     directory.removeExpired({
-      health: back,
+      health: recovered,
       nowMs: 10_000 + RELISTING_GRACE_MS - 1,
     });
     assert.deepEqual(namesOf(directory), ["a", "b"]);
     directory.removeExpired({
-      health: back,
+      health: recovered,
       nowMs: 10_000 + RELISTING_GRACE_MS,
     });
     assert.deepEqual(namesOf(directory), ["b"]);
   });
 
-  it("should keep lapsed servers as long as the store is away", () => {
+  it("should keep missing servers as long as the store is unreachable", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a"));
-    directory.remove("a" as InstanceId, { health: AWAY, nowMs: 5_000 });
-    directory.removeExpired({ health: AWAY, nowMs: 60_000 });
+    directory.remove("a" as InstanceId, { health: UNREACHABLE, nowMs: 5_000 });
+    directory.removeExpired({ health: UNREACHABLE, nowMs: 60_000 });
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
-  it("should drop a draining server whose entry goes even while the store is away", () => {
+  it("should remove a draining server whose entry vanishes even while the store is unreachable", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a", { state: "draining" }));
-    directory.remove("a" as InstanceId, { health: AWAY, nowMs: 5_000 });
+    directory.remove("a" as InstanceId, { health: UNREACHABLE, nowMs: 5_000 });
     assert.equal(directory.get("a" as InstanceId), undefined);
   });
 
@@ -74,14 +77,14 @@
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
-  it("should give no new work to an evacuated data centre until it returns", () => {
+  it("should give no new work to an evacuated data centre until the evacuation ends", () => {
     const south = "south" as DataCentreId;
     const directory = new ServerDirectory();
     directory.put(serverRecord("a"));
     directory.put(serverRecord("b", { dataCentre: south }));
     assert.equal(directory.setEvacuated(south, true), true);
     assert.equal(directory.setEvacuated(south, true), false);
-    // Also a server that comes while the order holds.
+    // Also to a server that is added during the evacuation.
     directory.put(serverRecord("c", { dataCentre: south }));
     assert.deepEqual(namesOf(directory), ["a"]);
     assert.equal(directory.isUsable("b" as InstanceId), false);
@@ -98,7 +101,7 @@
     assert.notEqual(directory.get("a" as InstanceId), undefined);
   });
 
-  it("should take a server that started again under its id for another life", () => {
+  it("should treat a server that restarted under its id as a new incarnation", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a", { bornMs: 1_000 }));
     const address = "10.0.0.9:1";
@@ -114,14 +117,14 @@
     assert.equal(directory.usable(SERVICE)[0]?.address, address);
   });
 
-  it("should not go back to an earlier life of which it learns late", () => {
+  it("should ignore a late entry of an earlier incarnation", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a", { bornMs: 2_000 }));
     directory.put(serverRecord("a", { bornMs: 1_000, state: "draining" }));
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
-  it("should use a server that was misdirected once it tells of a new life", () => {
+  it("should use a misdirected server again once a new incarnation is listed", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a", { bornMs: 1_000 }));
     directory.misdirected("a" as InstanceId);
@@ -129,14 +132,14 @@
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
-  it("should take entries without a birth for the life that is known", () => {
+  it("should treat entries without a start time as the known incarnation", () => {
     const directory = new ServerDirectory();
     directory.put(serverRecord("a", { bornMs: 1_000 }));
     assert.deepEqual(directory.put(serverRecord("a")), []);
     assert.equal(directory.get("a" as InstanceId)?.bornMs, 1_000);
   });
 
-  it("should give no new work to a server that has said that it leaves", () => {
+  it("should give no new work to a server that has announced that it is leaving", () => {
     const directory = new ServerDirectory();
     const server = serverRecord("a", { bornMs: 5 });
     directory.put(server);
@@ -144,7 +147,7 @@
     const [change] = directory.markLeaving(server);
     assert.equal(change?.tag === "removed" && change.reason, "leaving");
     assert.deepEqual(directory.markLeaving(server), []);
-    // The list lags, lapses and returns, and says nothing of its birth.
+    // The list lags, drops the entry, restores it, and omits its start time.
     directory.put({ ...server, slots: 9 });
     directory.remove(server.instance, { health: HEALTHY, nowMs: 10_000 });
     directory.put(server);
@@ -154,19 +157,19 @@
     assert.equal(directory.get(server.instance)?.address, server.address);
   });
 
-  it("should give work to a later life of a server that has left", () => {
+  it("should give work to a later incarnation of a server that has left", () => {
     const directory = new ServerDirectory();
     const server = serverRecord("a", { bornMs: 5 });
     directory.put(server);
     directory.markLeaving(server);
     directory.put({ ...server, bornMs: 6 });
     assert.deepEqual(namesOf(directory), ["a"]);
-    // Late word of the life before.
+    // A late notice of the earlier incarnation.
     assert.deepEqual(directory.markLeaving(server), []);
     assert.deepEqual(namesOf(directory), ["a"]);
   });
 
-  it("should take one that comes back without a birth for another life", () => {
+  it("should treat a server that is listed again without a start time as a new incarnation", () => {
     const directory = new ServerDirectory();
     const server = serverRecord("a");
     directory.put(server);
--- a/src/core/servers/server_loads.ts
+++ b/src/core/servers/server_loads.ts
@@ -1,211 +1,214 @@
-/** What this VM has under way at each backend server, and how they have done lately. */
+/** Load and recent health of backend servers, and their ejection after failures. */
 
 import type { InstanceId } from "../ids.ts";
-import { RecentAnswers } from "./decaying_answer_counts.ts";
+import { DecayingAnswerCounts } from "./decaying_answer_counts.ts";
 import type { ServerReport } from "./server_report.ts";
 
-/** Failures in a row after which a server is avoided. */
+/** Consecutive failures after which a server is ejected. */
 const FAILURES_TO_EJECT = 3;
-/** Share of recent answers that failed, from which a server is avoided. */
+/** Failure rate of recent answers from which a server is ejected. */
 const EJECT_FAILURE_RATE = 0.3;
 /** Weight of the newest answer in the failure rate. */
-const RATE_WEIGHT = 0.15;
-/** Time in which half of a failure rate is forgotten, so that a server is tried again. */
-const RATE_HALF_LIFE_MS = 1_000;
-/** How long a server is avoided the first time, in milliseconds. */
+const FAILURE_RATE_WEIGHT = 0.15;
+/** Half-life of the failure rate, so that a server is tried again. */
+const FAILURE_RATE_HALF_LIFE_MS = 1_000;
+/** Duration of the first ejection, in milliseconds; it doubles with each further one. */
 const EJECT_MS = 1_500;
-/** Longest that a server is avoided, in milliseconds. */
+/** Longest ejection, in milliseconds. */
 const MAX_EJECT_MS = 6_000;
 
-/** VMs that must have seen failures before all avoid a server: one may be cut off. */
-const FLEET_WITNESSES = 2;
-/** Recent failures at all VMs, at least, before all avoid a server. */
-const FLEET_FAILURES = 2.5;
-/** Share of recent answers at all VMs that failed, from which all avoid a server. */
-const FLEET_FAILURE_RATE = 0.3;
-/** Count of recent failures from which a VM is a witness of them. */
+/** VMs that must have seen failures before all VMs eject a server: a single VM may have lost its network. */
+const FLEET_EJECT_WITNESSES = 2;
+/** Recent failures at all VMs together that are required before all eject a server. */
+const FLEET_EJECT_FAILURES = 2.5;
+/** Failure rate at all VMs together from which all eject a server. */
+const FLEET_EJECT_FAILURE_RATE = 0.3;
+/** Recent failures from which a VM counts as a witness. */
 const WITNESS_FAILURES = 0.5;
-/** Count of recent answers below which a server is not worth a report. */
-const WORTH_TELLING = 0.1;
+/** Recent answers up to which an idle server is left out of reports. */
+const MIN_REPORTED_ANSWERS = 0.1;
 
-interface Row {
+interface ServerLoad {
   inFlight: number;
-  /** Work under way, in predicted milliseconds of a server. */
+  /** Predicted work in flight, in milliseconds of server time. */
   work: number;
-  /** What other VMs have told. */
-  elsewhere: ServerReport | undefined;
-  readonly recent: RecentAnswers;
-  failuresInRow: number;
+  /** Merged reports of all other VMs. */
+  peerReport: ServerReport | undefined;
+  readonly recent: DecayingAnswerCounts;
+  consecutiveFailures: number;
   failureRate: number;
-  /** When the rate was last brought up to date. */
+  /** When the failure rate was last updated. */
   rateAtMs: number;
   ejectedUntilMs: number;
   ejections: number;
 }
 
-/** Loads and health of all servers, as seen from here. */
+/** Load and health of all servers, as seen by this VM and reported by others. */
 export class ServerLoads {
-  readonly #rows = new Map<InstanceId, Row>();
+  readonly #loads = new Map<InstanceId, ServerLoad>();
 
-  /** Notes that a request was sent. */
+  /** Records that a request was sent. */
   begin(instance: InstanceId, work: number): void {
-    const row = this.#row(instance);
-    row.inFlight += 1;
-    row.work += work;
+    const load = this.#loadOf(instance);
+    load.inFlight += 1;
+    load.work += work;
   }
 
-  /** Notes that a request has ended, however it did. */
+  /** Records that a request has ended, with whatever outcome. */
   end(instance: InstanceId, work: number): void {
-    const row = this.#row(instance);
-    row.inFlight = Math.max(0, row.inFlight - 1);
-    row.work = Math.max(0, row.work - work);
+    const load = this.#loadOf(instance);
+    load.inFlight = Math.max(0, load.inFlight - 1);
+    load.work = Math.max(0, load.work - work);
   }
 
-  /** Notes that part of a request's work is done. */
+  /** Records that part of a request's work is done. */
   reduceWork(instance: InstanceId, work: number): void {
-    const row = this.#row(instance);
-    row.work = Math.max(0, row.work - work);
+    const load = this.#loadOf(instance);
+    load.work = Math.max(0, load.work - work);
   }
 
-  /** Takes in what all other VMs together have told, instead of what they told before. */
+  /** Replaces the merged reports of all other VMs. */
   setPeerReports(reports: ReadonlyMap<InstanceId, ServerReport>): void {
-    for (const row of this.#rows.values()) row.elsewhere = undefined;
+    for (const load of this.#loads.values()) load.peerReport = undefined;
     for (const [instance, report] of reports) {
-      this.#row(instance).elsewhere = report;
+      this.#loadOf(instance).peerReport = report;
     }
   }
 
-  /** Requests of this VM under way at a server. */
+  /** Requests of this VM in flight at a server. */
   inFlight(instance: InstanceId): number {
-    return this.#rows.get(instance)?.inFlight ?? 0;
+    return this.#loads.get(instance)?.inFlight ?? 0;
   }
 
-  /** Predicted work under way at a server, from all VMs. */
+  /** Predicted work in flight at a server from all VMs, in milliseconds. */
   work(instance: InstanceId): number {
-    const row = this.#rows.get(instance);
-    if (row === undefined) return 0;
-    return row.work + (row.elsewhere?.workMs ?? 0);
+    const load = this.#loads.get(instance);
+    if (load === undefined) return 0;
+    return load.work + (load.peerReport?.workMs ?? 0);
   }
 
-  /** What this VM has to tell of servers. */
+  /** Reports of this VM on servers with work in flight or recent answers. */
   localReports(nowMs: number): ServerReport[] {
-    return [...this.#rows]
-      .map(([instance, row]) => reportOf(instance, { row, nowMs }))
-      .filter(({ workMs, answers }) => workMs > 0 || answers > WORTH_TELLING);
+    return [...this.#loads]
+      .map(([instance, load]) => reportOf(instance, { load, nowMs }))
+      .filter(({ workMs, answers }) =>
+        workMs > 0 || answers > MIN_REPORTED_ANSWERS
+      );
   }
 
-  /** Notes a good answer. */
+  /** Records a successful answer. */
   recordSuccess(instance: InstanceId, nowMs: number): void {
-    const row = this.#row(instance);
-    row.recent.note(false, nowMs);
-    fade(row, nowMs);
-    row.failuresInRow = 0;
-    row.failureRate *= 1 - RATE_WEIGHT;
-    if (row.failureRate < EJECT_FAILURE_RATE / 4) row.ejections = 0;
+    const load = this.#loadOf(instance);
+    load.recent.record(false, nowMs);
+    decayFailureRate(load, nowMs);
+    load.consecutiveFailures = 0;
+    load.failureRate *= 1 - FAILURE_RATE_WEIGHT;
+    if (load.failureRate < EJECT_FAILURE_RATE / 4) load.ejections = 0;
   }
 
-  /** Notes a failure; returns for how long the server is avoided from now on, if it is. */
+  /** Records a failure; returns for how many milliseconds the server is ejected, if this ejects it. */
   recordFailure(instance: InstanceId, nowMs: number): number | undefined {
-    this.#row(instance).recent.note(true, nowMs);
+    this.#loadOf(instance).recent.record(true, nowMs);
     return this.recordRejection(instance, nowMs);
   }
 
   /**
-   * Notes that a server has not run a request, as when it is full. Other VMs are not told:
-   * they see the work that is under way there. Returns as `failed` does.
+   * Records that a server rejected a request without running it, for example at capacity. This is
+   * not reported to other VMs, which see the work in flight there. Returns as `recordFailure` does.
    */
   recordRejection(instance: InstanceId, nowMs: number): number | undefined {
-    const row = this.#row(instance);
-    fade(row, nowMs);
-    row.failuresInRow += 1;
-    row.failureRate += RATE_WEIGHT * (1 - row.failureRate);
-    const bad = row.failuresInRow >= FAILURES_TO_EJECT ||
-      row.failureRate >= EJECT_FAILURE_RATE;
-    if (!bad || row.ejectedUntilMs > nowMs) return undefined;
-    return this.#eject(row, nowMs);
+    const load = this.#loadOf(instance);
+    decayFailureRate(load, nowMs);
+    load.consecutiveFailures += 1;
+    load.failureRate += FAILURE_RATE_WEIGHT * (1 - load.failureRate);
+    const isUnhealthy = load.consecutiveFailures >= FAILURES_TO_EJECT ||
+      load.failureRate >= EJECT_FAILURE_RATE;
+    if (!isUnhealthy || load.ejectedUntilMs > nowMs) return undefined;
+    return this.#eject(load, nowMs);
   }
 
-  /** Avoids a server at once, as when it does not take connections. */
+  /** Ejects a server immediately, for example when it refuses connections. Returns as `recordFailure` does. */
   recordUnreachable(instance: InstanceId, nowMs: number): number | undefined {
-    const row = this.#row(instance);
-    row.recent.note(true, nowMs);
-    if (row.ejectedUntilMs > nowMs) return undefined;
-    return this.#eject(row, nowMs);
+    const load = this.#loadOf(instance);
+    load.recent.record(true, nowMs);
+    if (load.ejectedUntilMs > nowMs) return undefined;
+    return this.#eject(load, nowMs);
   }
 
-  /** Whether a server is avoided now. */
+  /** Whether a server is ejected now. */
   isEjected(instance: InstanceId, nowMs: number): boolean {
-    const row = this.#rows.get(instance);
-    if (row === undefined) return false;
-    return row.ejectedUntilMs > nowMs || fleetAvoids(instance, { row, nowMs });
+    const load = this.#loads.get(instance);
+    if (load === undefined) return false;
+    return load.ejectedUntilMs > nowMs ||
+      isEjectedByFleet(instance, { load, nowMs });
   }
 
-  /** Share of recent answers of a server that failed. */
+  /** Failure rate of the recent answers of a server, from 0 to 1. */
   failureRate(instance: InstanceId, nowMs: number): number {
-    const row = this.#rows.get(instance);
-    if (row === undefined) return 0;
-    fade(row, nowMs);
-    return row.failureRate;
+    const load = this.#loads.get(instance);
+    if (load === undefined) return 0;
+    decayFailureRate(load, nowMs);
+    return load.failureRate;
   }
 
-  /** Forgets a server that is gone. */
+  /** Removes a server that is no longer listed, unless requests are in flight there. */
   remove(instance: InstanceId): void {
-    const row = this.#rows.get(instance);
-    if (row !== undefined && row.inFlight === 0) this.#rows.delete(instance);
+    const load = this.#loads.get(instance);
+    if (load !== undefined && load.inFlight === 0) this.#loads.delete(instance);
   }
 
-  #eject(row: Row, nowMs: number): number {
-    const ejectMs = Math.min(MAX_EJECT_MS, EJECT_MS * 2 ** row.ejections);
-    row.ejections += 1;
-    row.failuresInRow = 0;
-    row.ejectedUntilMs = nowMs + ejectMs;
+  #eject(load: ServerLoad, nowMs: number): number {
+    const ejectMs = Math.min(MAX_EJECT_MS, EJECT_MS * 2 ** load.ejections);
+    load.ejections += 1;
+    load.consecutiveFailures = 0;
+    load.ejectedUntilMs = nowMs + ejectMs;
     return ejectMs;
   }
 
-  #row(instance: InstanceId): Row {
-    const known = this.#rows.get(instance);
+  #loadOf(instance: InstanceId): ServerLoad {
+    const known = this.#loads.get(instance);
     if (known !== undefined) return known;
-    const row: Row = {
+    const load: ServerLoad = {
       inFlight: 0,
       work: 0,
-      elsewhere: undefined,
-      recent: new RecentAnswers(),
-      failuresInRow: 0,
+      peerReport: undefined,
+      recent: new DecayingAnswerCounts(),
+      consecutiveFailures: 0,
       failureRate: 0,
       rateAtMs: 0,
       ejectedUntilMs: 0,
       ejections: 0,
     };
-    this.#rows.set(instance, row);
-    return row;
+    this.#loads.set(instance, load);
+    return load;
   }
 }
 
 function reportOf(
   instance: InstanceId,
-  { row, nowMs }: { row: Row; nowMs: number },
+  { load, nowMs }: { load: ServerLoad; nowMs: number },
 ): ServerReport {
-  const { answers, failures } = row.recent.counts(nowMs);
+  const { answers, failures } = load.recent.counts(nowMs);
   const witnesses = failures >= WITNESS_FAILURES ? 1 : 0;
-  return { instance, workMs: row.work, answers, failures, witnesses };
+  return { instance, workMs: load.work, answers, failures, witnesses };
 }
 
-/** Whether the VMs together have seen enough failures of a server to avoid it. */
-function fleetAvoids(
+/** Whether the VMs together have seen enough failures of a server to eject it. */
+function isEjectedByFleet(
   instance: InstanceId,
-  { row, nowMs }: { row: Row; nowMs: number },
+  { load, nowMs }: { load: ServerLoad; nowMs: number },
 ): boolean {
-  if (row.elsewhere === undefined) return false;
-  const own = reportOf(instance, { row, nowMs });
-  const { answers, failures, witnesses } = row.elsewhere;
+  if (load.peerReport === undefined) return false;
+  const own = reportOf(instance, { load, nowMs });
+  const { answers, failures, witnesses } = load.peerReport;
   const allFailures = failures + own.failures;
-  return witnesses + own.witnesses >= FLEET_WITNESSES &&
-    allFailures >= FLEET_FAILURES &&
-    allFailures >= FLEET_FAILURE_RATE * (answers + own.answers);
+  return witnesses + own.witnesses >= FLEET_EJECT_WITNESSES &&
+    allFailures >= FLEET_EJECT_FAILURES &&
+    allFailures >= FLEET_EJECT_FAILURE_RATE * (answers + own.answers);
 }
 
-function fade(row: Row, nowMs: number): void {
-  const ageMs = Math.max(0, nowMs - row.rateAtMs);
-  row.failureRate *= 0.5 ** (ageMs / RATE_HALF_LIFE_MS);
-  row.rateAtMs = nowMs;
+function decayFailureRate(load: ServerLoad, nowMs: number): void {
+  const ageMs = Math.max(0, nowMs - load.rateAtMs);
+  load.failureRate *= 0.5 ** (ageMs / FAILURE_RATE_HALF_LIFE_MS);
+  load.rateAtMs = nowMs;
 }
--- a/src/core/servers/server_loads_test.ts
+++ b/src/core/servers/server_loads_test.ts
@@ -17,30 +17,30 @@
   };
 }
 
-/** Returns for how long the server is avoided after at most three failures. */
-function failUntilAvoided(loads: ServerLoads, nowMs: number): number {
+/** Returns for how many milliseconds the server is ejected after at most three failures. */
+function failUntilEjected(loads: ServerLoads, nowMs: number): number {
   const answers = [1, 2, 3].map(() => loads.recordFailure(A, nowMs));
   return answers.find((ejectMs) => ejectMs !== undefined) ?? 0;
 }
 
 describe("server loads", () => {
-  it("should avoid a server after failures in a row, longer each time", () => {
+  it("should eject a server after consecutive failures, longer each time", () => {
     const loads = new ServerLoads();
-    const first = failUntilAvoided(loads, 0);
+    const first = failUntilEjected(loads, 0);
     assert.equal(loads.isEjected(A, first - 1), true);
     assert.equal(loads.isEjected(A, first), false);
-    const second = failUntilAvoided(loads, first);
+    const second = failUntilEjected(loads, first);
     assert.ok(second > first);
   });
 
-  it("should forget failures with time, also of a server that gets no requests", () => {
+  it("should decay the failure rate over time, even for a server that gets no requests", () => {
     const loads = new ServerLoads();
     for (let n = 0; n < 10; n++) loads.recordFailure(A, 0);
     assert.ok(loads.failureRate(A, 0) > 0.5);
     assert.ok(loads.failureRate(A, 20_000) < 0.001);
   });
 
-  it("should add what other VMs have under way, and replace it", () => {
+  it("should add the work that other VMs report, and replace their reports", () => {
     const loads = new ServerLoads();
     loads.begin(A, 30);
     loads.setPeerReports(new Map([[A, report({ workMs: 50 })]]));
@@ -53,7 +53,7 @@
     assert.equal(loads.inFlight(A), 0);
   });
 
-  it("should avoid a server that fails for several VMs, though hardly seen here", () => {
+  it("should eject a server that fails for several VMs, even with few failures here", () => {
     const loads = new ServerLoads();
     loads.recordFailure(A, 0);
     const failing = report({ answers: 4, failures: 3, witnesses: 3 });
@@ -63,21 +63,21 @@
     assert.equal(loads.isEjected(A, 0), false);
   });
 
-  it("should not avoid a server that fails for one VM only, which may be cut off", () => {
+  it("should not eject a server that fails for a single VM, which may have lost its network", () => {
     const loads = new ServerLoads();
     const failing = report({ answers: 9, failures: 9, witnesses: 1 });
     loads.setPeerReports(new Map([[A, failing]]));
     assert.equal(loads.isEjected(A, 0), false);
   });
 
-  it("should not avoid a server for the failures that all servers have", () => {
+  it("should not eject a server for a usual failure rate", () => {
     const loads = new ServerLoads();
     const usual = report({ answers: 40, failures: 5, witnesses: 5 });
     loads.setPeerReports(new Map([[A, usual]]));
     assert.equal(loads.isEjected(A, 0), false);
   });
 
-  it("should tell of servers with work or answers, and not that they were full", () => {
+  it("should report servers with work or answers, but not rejections", () => {
     const loads = new ServerLoads();
     loads.recordRejection(A, 0);
     assert.deepEqual(loads.localReports(0), []);
--- a/src/core/servers/server_notice.ts
+++ b/src/core/servers/server_notice.ts
@@ -1,14 +1,14 @@
-/** What a backend server says of itself beside an answer. */
+/** Status that a backend server sends along with an answer. */
 
-/** Goes before what a VM has guessed of the server. */
+/** Takes precedence over the VM's own estimate of the server's state. */
 export interface ServerNotice {
-  /** How long it wants nothing from this VM, in milliseconds; 0 where it asks for no rest. */
+  /** Backoff that the server requests from this VM, in milliseconds; 0 if none. */
   readonly restMs: number;
-  /** Whether it is about to leave. It says so in all its answers from then on. */
+  /** Whether the server is about to leave; set in all its answers from then on. */
   readonly leaves: boolean;
   /**
-   * Requests a second that it takes from all VMs together, for as long as it says so; undefined
-   * where it names no limit.
+   * Rate limit of the server for all VMs together, in requests per second, valid for as long as the
+   * server sends it; undefined if it sends none.
    */
   readonly limitPerS: number | undefined;
 }
--- a/src/core/servers/server_record.ts
+++ b/src/core/servers/server_record.ts
@@ -1,4 +1,4 @@
-/** What the list of backend servers says of one of them. */
+/** Entry of a backend server in the list, and comparison of its incarnations. */
 
 import type {
   DataCentreId,
@@ -8,10 +8,10 @@
   ServiceId,
 } from "../ids.ts";
 
-/** `draining` servers finish what they have and take no new work. */
+/** `draining` servers finish running requests and take no new work. */
 export type ServerState = "ready" | "draining";
 
-/** One life of a backend server, as its entry tells it. */
+/** One incarnation of a backend server, as its entry describes it. */
 export interface ServerRecord {
   readonly instance: InstanceId;
   readonly service: ServiceId;
@@ -21,18 +21,19 @@
   readonly release: ReleaseId;
   readonly slots: number;
   readonly state: ServerState;
-  /** How long the server stayed cold as it wrote this, in milliseconds; 0 when it was warm. */
+  /** Time that the server still needed to warm up when it wrote this, in milliseconds; 0 if it was warm. */
   readonly coldForMs: number;
-  /** When this life began, by the server's own time of day; undefined where it does not tell. */
+  /** When this incarnation started, by the server's own wall clock; undefined if the entry does not say. */
   readonly bornMs: number | undefined;
 }
 
-/** What tells one life of a server from others; without a birth any may be meant. */
+/** Identifies an incarnation of a server; without a start time it matches any incarnation. */
 export type ServerIncarnationKey = Pick<ServerRecord, "instance" | "bornMs">;
 
 /**
- * Names one life of a server. One that starts again may keep its id; what it held and ran before
- * is gone. Births are compared with each other only, never with a clock here.
+ * Returns the id of one incarnation of a server. A restarted server may keep its instance id, but has
+ * lost its cache and running requests. Start times are compared only with each other, never with a
+ * clock of this VM.
  */
 export function incarnationIdOf(
   { instance, bornMs }: ServerIncarnationKey,
@@ -42,7 +43,7 @@
     : `${instance}/${bornMs}`) as ServerLife;
 }
 
-/** Whether a record tells of a later life than another one of the same server. */
+/** Whether a record describes a later incarnation than another record of the same server. */
 export function isLaterIncarnation(
   { bornMs }: Pick<ServerRecord, "bornMs">,
   than: Pick<ServerRecord, "bornMs">,
--- a/src/core/servers/server_report.ts
+++ b/src/core/servers/server_report.ts
@@ -1,21 +1,21 @@
-/** What VMs tell each other of one backend server. */
+/** Reports on backend servers that VMs exchange. */
 
 import type { InstanceId } from "../ids.ts";
 
-/** How a server does as seen by one VM, or by several added up. */
+/** Load and health of a server as seen by one VM, or the sum over several VMs. */
 export interface ServerReport {
   readonly instance: InstanceId;
-  /** Predicted work under way, in milliseconds. */
+  /** Predicted work in flight, in milliseconds. */
   readonly workMs: number;
-  /** Recent answers and failures, older ones counting less. */
+  /** Recent answers, failures included, with exponential decay. */
   readonly answers: number;
-  /** Failures among the answers. */
+  /** Failures among `answers`. */
   readonly failures: number;
-  /** VMs that saw a failure lately. */
+  /** VMs that have seen failures recently. */
   readonly witnesses: number;
 }
 
-/** Adds reports up by server. */
+/** Sums reports by server. */
 export function sumReports(
   reports: Iterable<ServerReport>,
 ): Map<InstanceId, ServerReport> {
