--- a/src/core/limits/retry_budget.ts
+++ b/src/core/limits/retry_budget.ts
@@ -20,7 +20,7 @@
 export interface RetryBudgetState {
   /** Permits that can be acquired now. */
   readonly available: number;
-  /** Available permits beyond those reserved for requests whose answer would be lost without a retry. */
+  /** Available permits that are not reserved for requests whose answer would otherwise be lost. */
   readonly unreserved: number;
   /** Retries earned by requests and not sent yet; negative while too many are unacknowledged. */
   readonly earned: number;
@@ -59,7 +59,7 @@
  * retry. Unacknowledged retries may arrive after the request rate has dropped, when the bound is lower.
  */
 const UNACKED_RATIO_SHARE = 0.2;
-/** Fraction of the maximum balance reserved for requests whose answer would be lost without a retry. */
+/** Fraction of the maximum balance reserved for requests whose answer would otherwise be lost. */
 const RESERVED_SHARE = 0.25;
 /**
  * Fraction of the allowance that is split among the known VMs. VMs that start during a network
@@ -75,7 +75,7 @@
 /** The part of a retry that was paid from the allowance. */
 interface Charge {
   readonly amount: number;
-  /** When the charge expires: one window after the retry arrived; infinite while it may still arrive. */
+  /** Expiry: one window after the retry arrived; infinite while it may still arrive. */
   untilMs: number;
 }
 
--- a/src/core/limits/retry_budget_fleet_test.ts
+++ b/src/core/limits/retry_budget_fleet_test.ts
@@ -33,8 +33,8 @@
 const AWAY_MS = 9_000;
 const PERIOD_MS = 36_000;
 const PULSE_MS = 1_500;
-const SUSPENDED_MS = 20_000;
-const RESUMED_MS = 26_000;
+const SUSPEND_AT_MS = 20_000;
+const RESUME_AT_MS = 26_000;
 
 describe("retry budgets of a fleet", () => {
   it("should keep retries within the bound where VMs restart repeatedly", () => {
@@ -98,12 +98,12 @@
       const shape = { lastsMs: 8_000, retries: 2 };
       const fleet = new RetryFleet(vms, { shape });
       const step = (_fleet: RetryFleet, nowMs: number) => {
-        if (nowMs === SUSPENDED_MS || nowMs === RESUMED_MS) {
-          const isSuspended = nowMs === SUSPENDED_MS;
+        if (nowMs === SUSPEND_AT_MS || nowMs === RESUME_AT_MS) {
+          const isSuspended = nowMs === SUSPEND_AT_MS;
           for (let vm = 1; vm < vms; vm++) fleet.suspend(vm, isSuspended);
         }
         // By then, requests sent to the suspended VMs are as old as a window.
-        fleet.isFailing = nowMs >= RESUMED_MS + AWAY_MS;
+        fleet.isFailing = nowMs >= RESUME_AT_MS + AWAY_MS;
       };
       playRetries(fleet, { vms, perS, seconds: 45, step });
       assertWithinBound(fleet, label);
--- a/src/core/servers/prefill_time_estimator.ts
+++ b/src/core/servers/prefill_time_estimator.ts
@@ -4,7 +4,7 @@
 
 /** Part of the time to first token that does not depend on the prompt length, in milliseconds. */
 const BASE_MS = 20;
-/** Shortest prompt that is evaluated, in tokens: in shorter ones, `BASE_MS` and the network latency dominate. */
+/** Shortest prompt that is evaluated, in tokens; in shorter ones, fixed latency dominates. */
 const MIN_TOKENS = 500;
 /** Samples kept per model: about the last minute on a busy VM. */
 const MAX_SAMPLES = 64;
--- a/src/core/servers/server_backoffs.ts
+++ b/src/core/servers/server_backoffs.ts
@@ -20,13 +20,13 @@
  * capacity rejects the first request long before the next one is due.
  */
 export const RESUME_INTERVAL_MS = 250;
-/** Time after the end of a backoff until its entry is removed if no request was sent, in milliseconds. */
+/** How long an ended backoff is kept if no request follows it, in milliseconds. */
 const ENTRY_TTL_MS = 60_000;
 
 interface Backoff {
   readonly server: ServerIncarnationKey;
   untilMs: number;
-  /** Earliest time of the next request; later than `untilMs` once a request was sent after the backoff. */
+  /** Earliest time of the next request; equals `untilMs` until the first one after the backoff. */
   nextMs: number;
 }
 
@@ -66,7 +66,7 @@
     return Math.max(0, (this.#get(server)?.untilMs ?? 0) - nowMs);
   }
 
-  /** Milliseconds until a server may be chosen, including the interval between requests after a backoff. */
+  /** Milliseconds until a server may be chosen, respecting `RESUME_INTERVAL_MS` after a backoff. */
   opensInMs(server: ServerIncarnationKey, nowMs: number): number {
     return Math.max(0, (this.#get(server)?.nextMs ?? 0) - nowMs);
   }
--- a/src/core/servers/server_loads.ts
+++ b/src/core/servers/server_loads.ts
@@ -17,7 +17,7 @@
 /** Longest ejection, in milliseconds. */
 const MAX_EJECT_MS = 6_000;
 
-/** VMs that must have seen failures before all VMs eject a server: a single VM may have lost its network. */
+/** VMs that must have seen failures before all eject a server: a single VM may be partitioned. */
 const FLEET_EJECT_WITNESSES = 2;
 /** Recent failures at all VMs together that are required before all eject a server. */
 const FLEET_EJECT_FAILURES = 2.5;
@@ -127,7 +127,7 @@
     return this.#eject(load, nowMs);
   }
 
-  /** Ejects a server immediately, for example when it refuses connections. Returns as `recordFailure` does. */
+  /** Ejects a server immediately, as when it refuses connections; returns as `recordFailure` does. */
   recordUnreachable(instance: InstanceId, nowMs: number): number | undefined {
     const load = this.#loadOf(instance);
     load.recent.record(true, nowMs);
--- a/src/core/servers/unacked_attempts.ts
+++ b/src/core/servers/unacked_attempts.ts
@@ -12,7 +12,7 @@
 
 /** Age from which an attempt counts as lost, in milliseconds. */
 const ATTEMPT_TTL_MS = 60_000;
-/** Time in which a running server reads a request and bytes that it sends reach this VM, in milliseconds. */
+/** Time for a running server to read a request, and for its bytes to reach this VM, in milliseconds. */
 const READ_DELAY_MS = 100;
 /** Age of an unacknowledged attempt from which its server counts as unresponsive, in milliseconds. */
 export const UNRESPONSIVE_MS = 900;
@@ -41,7 +41,10 @@
 export class UnackedAttempts {
   readonly #servers = new Map<InstanceId, ServerAttempts>();
 
-  /** Records that the first byte of an attempt is written; `onAcked` is called once the server has read it or no longer can. */
+  /**
+   * Records that the first byte of an attempt is written. `onAcked` is called once the server has
+   * read the attempt or can no longer read it.
+   */
   recordSent(
     server: ServerIncarnationKey,
     { nowMs, onAcked }: { nowMs: number; onAcked: () => void },
