--- a/src/core/limits/retry_late_request_test.ts
+++ b/src/core/limits/retry_late_request_test.ts
@@ -24,9 +24,7 @@
           const fleet = new RetryFleet(vms, { shape: SHAPE });
           fleet.isFailing = true;
           const step = (_fleet: RetryFleet, nowMs: number) => {
-            if (nowMs !== START_MS && nowMs !== START_MS + delayMs) {
-              return;
-            }
+            if (nowMs !== START_MS && nowMs !== START_MS + delayMs) return;
             for (let vm = 0; vm < fraction * vms; vm++) {
               fleet.holdLink(vm, nowMs === START_MS);
             }
