--- a/src/core/routing/herd_test.ts
+++ b/src/core/routing/herd_test.ts
@@ -61,7 +61,7 @@
   ]));
   for (const vm of vms) {
     for (const { instance } of SERVERS) vm.end(instance, Infinity);
-    vm.setElsewhere(reports);
+    vm.setPeerReports(reports);
   }
 }
 
--- a/src/core/routing/limit_admission.ts
+++ b/src/core/routing/limit_admission.ts
@@ -7,7 +7,10 @@
 import type { EntryId, InstanceId } from "../ids.ts";
 import type { Member } from "../membership/member.ts";
 import type { ServerLimits } from "../servers/server_limits.ts";
-import { isLaterLife, type ServerLifeKey } from "../servers/server_record.ts";
+import {
+  isLaterIncarnation,
+  type ServerIncarnationKey,
+} from "../servers/server_record.ts";
 import {
   type UnackedAttempts,
   UNRESPONSIVE_MS,
@@ -54,7 +57,7 @@
 
 /** State of one rate-limited server. */
 interface Bucket {
-  incarnation: ServerLifeKey;
+  incarnation: ServerIncarnationKey;
   isOwner: boolean;
   /** Requests that this VM may send now from its own share. */
   tokens: number;
@@ -106,7 +109,7 @@
   }
 
   /** Whether an unreserved permit for the server is available now; always true without a limit. */
-  canAcquire(server: ServerLifeKey): boolean {
+  canAcquire(server: ServerIncarnationKey): boolean {
     const share = this.#shareOf(server);
     if (share === undefined) return true;
     const bucket = this.#refreshBucket(server, share);
@@ -114,7 +117,7 @@
   }
 
   /** Estimated milliseconds until a permit is available; 0 if one is available now. */
-  opensInMs(server: ServerLifeKey): number {
+  opensInMs(server: ServerIncarnationKey): number {
     const share = this.#shareOf(server);
     if (share === undefined || this.canAcquire(server)) return 0;
     const bucket = this.#refreshBucket(server, share);
@@ -130,7 +133,7 @@
   }
 
   /** Reserves a permit for a request that has been routed to the server. */
-  reserve(server: ServerLifeKey): SendReservation {
+  reserve(server: ServerIncarnationKey): SendReservation {
     const share = this.#shareOf(server);
     // The server may advertise a limit while the connection is being established.
     if (share === undefined) {
@@ -151,7 +154,7 @@
   }
 
   /** Grants another VM a permit from this VM's own share, if one is left. */
-  tryGrant(server: ServerLifeKey): GrantAnswer {
+  tryGrant(server: ServerIncarnationKey): GrantAnswer {
     const share = this.#shareOf(server);
     // The limit has not reached this VM yet, so its share is unknown.
     if (share === undefined) return { granted: false, opensInMs: LEASE_MS };
@@ -168,7 +171,7 @@
   }
 
   /** Other owners that may be asked for a permit now. */
-  ownersToAsk(server: ServerLifeKey): readonly EntryId[] {
+  ownersToAsk(server: ServerIncarnationKey): readonly EntryId[] {
     const share = this.#shareOf(server);
     if (share === undefined) return [];
     const { retryAtMs } = this.#refreshBucket(server, share);
@@ -184,7 +187,7 @@
 
   /** Records an owner's answer to a permit request. */
   recordAnswer(
-    server: ServerLifeKey,
+    server: ServerIncarnationKey,
     { owner, granted, opensInMs }: GrantAnswer & { owner: EntryId },
   ): void {
     const share = this.#shareOf(server);
@@ -201,7 +204,7 @@
     this.#owners.remove(instance);
   }
 
-  #consume(server: ServerLifeKey): boolean {
+  #consume(server: ServerIncarnationKey): boolean {
     const share = this.#shareOf(server);
     if (share === undefined) return true;
     const bucket = this.#refreshBucket(server, share);
@@ -211,8 +214,8 @@
     return true;
   }
 
-  #shareOf(server: ServerLifeKey): LimitShare | undefined {
-    const limitPerS = this.#limits.of(server);
+  #shareOf(server: ServerIncarnationKey): LimitShare | undefined {
+    const limitPerS = this.#limits.get(server);
     if (limitPerS === undefined) {
       // If the server advertises a limit again later, its bucket starts empty.
       this.#buckets.delete(server.instance);
@@ -244,7 +247,7 @@
   }
 
   /** Returns the bucket of a server after refilling it and dropping what has expired. */
-  #refreshBucket(incarnation: ServerLifeKey, share: LimitShare): Bucket {
+  #refreshBucket(incarnation: ServerIncarnationKey, share: LimitShare): Bucket {
     const nowMs = this.#clock.monotonicMs();
     const { instance } = incarnation;
     const isOwner = this.#owners.isOwner(instance, {
@@ -252,7 +255,9 @@
       nowMs,
     });
     const known = this.#buckets.get(instance);
-    if (known === undefined || isLaterLife(incarnation, known.incarnation)) {
+    if (
+      known === undefined || isLaterIncarnation(incarnation, known.incarnation)
+    ) {
       const bucket = newBucket(incarnation, { isOwner, nowMs });
       this.#buckets.set(instance, bucket);
       return bucket;
@@ -281,7 +286,7 @@
    * resumes, it reads the requests buffered in the meantime in addition to newly sent ones, which
    * together could exceed the limit.
    */
-  #mayBeStalled(incarnation: ServerLifeKey): boolean {
+  #mayBeStalled(incarnation: ServerIncarnationKey): boolean {
     const nowMs = this.#clock.monotonicMs();
     const { oldestMs, newestMs } = this.#unacked.state(incarnation, nowMs);
     return oldestMs >= UNRESPONSIVE_MS && newestMs < STALLED_PROBE_INTERVAL_MS;
@@ -294,7 +299,7 @@
 }
 
 function newBucket(
-  incarnation: ServerLifeKey,
+  incarnation: ServerIncarnationKey,
   { isOwner, nowMs }: { isOwner: boolean; nowMs: number },
 ): Bucket {
   return {
--- a/src/core/routing/limit_admission_test.ts
+++ b/src/core/routing/limit_admission_test.ts
@@ -82,7 +82,7 @@
   }
 
   receiveLimit(limitPerS: number | undefined): void {
-    this.limits.hear({ life: SERVER, limitPerS, atMs: nowMs });
+    this.limits.receive({ life: SERVER, limitPerS, atMs: nowMs });
   }
 
   /** Sends a request if a permit is available; returns whether it did. */
@@ -105,10 +105,10 @@
   /** Receives a request that a VM sends now. */
   receive({ unacked }: Vm): void {
     const sentMs = nowMs;
-    unacked.sent(SERVER, { nowMs, onAcked: () => {} });
+    unacked.recordSent(SERVER, { nowMs, onAcked: () => {} });
     this.#unread.push(() => {
       this.arrivedMs.push(nowMs);
-      unacked.answered(SERVER, sentMs);
+      unacked.recordAnswer(SERVER, sentMs);
     });
     this.readPending();
   }
@@ -353,7 +353,7 @@
     vm?.receiveLimit(1);
     assert.equal(vm?.send(), false);
     nowMs += 1_000;
-    vm?.limits.namesNone(SERVER, nowMs);
+    vm?.limits.receiveNoLimit(SERVER, nowMs);
     assert.equal(vm?.admission.canAcquire(SERVER), true);
     nowMs += 5_000;
     vm?.receiveLimit(1);
--- a/src/core/routing/permit_borrowing_test.ts
+++ b/src/core/routing/permit_borrowing_test.ts
@@ -92,7 +92,7 @@
     const { limitPerS, busyFraction } = this.#scenario;
     const endMs = this.nowMs + LOAD_MS;
     for (const limits of this.#limits) {
-      limits.hear({ life: SERVER, limitPerS, atMs: this.nowMs });
+      limits.receive({ life: SERVER, limitPerS, atMs: this.nowMs });
     }
     const busyVms = [...this.#vms].slice(
       0,
--- a/src/gateway/attempt_acks.ts
+++ b/src/gateway/attempt_acks.ts
@@ -4,7 +4,10 @@
  */
 
 import type { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -50,7 +53,7 @@
     const sentMs = clock.monotonicMs();
     record.sentMs = sentMs;
     gatewayMetrics.unackedAttempts.inc({ service: server.service });
-    this.#unacked.sent(server, {
+    this.#unacked.recordSent(server, {
       nowMs: sentMs,
       onAcked: () => {
         record.ackedMs = clock.monotonicMs();
@@ -68,24 +71,24 @@
     { sentMs, ackedMs }: AttemptRecord,
   ): void {
     if (sentMs !== undefined && ackedMs === undefined) {
-      this.#unacked.answered(server, sentMs);
+      this.#unacked.recordAnswer(server, sentMs);
     }
-    this.#unacked.heard(server, this.#deps.clock.monotonicMs());
+    this.#unacked.recordActivity(server, this.#deps.clock.monotonicMs());
   }
 
   /** Records a response to a probe that was sent at `sentMs`. */
   probeAnswered(server: ServerRecord, sentMs: number): void {
-    this.#unacked.answered(server, sentMs);
+    this.#unacked.recordAnswer(server, sentMs);
   }
 
   /** Records that the server closed the connection of an attempt. */
   connectionClosed(server: ServerRecord, { sentMs }: AttemptRecord): void {
-    if (sentMs !== undefined) this.#unacked.closed(server, sentMs);
+    if (sentMs !== undefined) this.#unacked.recordClosed(server, sentMs);
   }
 
   /** Records that no process listens at the address of a server. */
   connectionRefused(server: ServerRecord): void {
-    this.#unacked.ended(server);
+    this.#unacked.recordServerExit(server);
   }
 
   /**
@@ -104,7 +107,7 @@
   return new BurstLog({
     one: ({ server, ageMs }) =>
       logger.warn("Backend server acknowledged an attempt late", {
-        server: lifeOf(server),
+        server: incarnationIdOf(server),
         service: server.service,
         age_ms: Math.round(ageMs),
       }),
--- a/src/gateway/attempt_sender.ts
+++ b/src/gateway/attempt_sender.ts
@@ -13,7 +13,7 @@
 import { mayRunAgain } from "../core/routes/route.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import type { SilenceReason } from "../core/servers/silence.ts";
+import type { StallReason } from "../core/servers/server_stall_detector.ts";
 import type { PlaceBorrower } from "../fleet/place_borrower.ts";
 import { encodeBackendRequest } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -336,7 +336,7 @@
   }
 
   /** Aborts the current attempt because its server has stalled. */
-  abortStalled(reason: SilenceReason): void {
+  abortStalled(reason: StallReason): void {
     const streaming = this.#request.exchange.state === "begun";
     this.abort({ tag: streaming ? "stream_broken" : "broken", reason });
   }
@@ -345,7 +345,7 @@
   stallReason(
     { table, route }: AdmittedRequest,
     nowMs: number,
-  ): SilenceReason | undefined {
+  ): StallReason | undefined {
     const record = this.#attempts.at(-1);
     const server = this.#server;
     if (record === undefined || server === undefined) return undefined;
--- a/src/gateway/attempt_stall_detector.ts
+++ b/src/gateway/attempt_stall_detector.ts
@@ -4,14 +4,14 @@
 import type { Route } from "../core/routes/route.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import {
-  isLaterLife,
+  isLaterIncarnation,
   type ServerRecord,
 } from "../core/servers/server_record.ts";
 import {
-  kindOf,
-  type SilenceReason,
-  type SilenceWatch,
-} from "../core/servers/silence.ts";
+  requestKindOf,
+  type ServerStallDetector,
+  type StallReason,
+} from "../core/servers/server_stall_detector.ts";
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { ServerAdmission } from "./server_admission.ts";
@@ -20,7 +20,7 @@
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
-  readonly silenceWatch: SilenceWatch;
+  readonly serverStallDetector: ServerStallDetector;
   readonly serverProbe: ServerProbe;
   readonly serverNoticeHandler: ServerNoticeHandler;
   readonly attemptAcks: Pick<AttemptAcks, "probeAnswered">;
@@ -48,12 +48,12 @@
   check(
     { server, record, route, isModelServer }: PendingAttempt,
     nowMs: number,
-  ): SilenceReason | undefined {
-    const { silenceWatch, serverProbe, serverAdmission } = this.#deps;
+  ): StallReason | undefined {
+    const { serverStallDetector, serverProbe, serverAdmission } = this.#deps;
     if (this.#hasRestarted(server)) return "server_restarted";
     const waiting = {
       instance: record.server,
-      kind: kindOf(route.id, record.model),
+      kind: requestKindOf(route.id, record.model),
       sentMs: record.startedMs,
       targetMs: route.targetMs,
       expectedMs: record.expectedMs,
@@ -62,13 +62,13 @@
         ? serverAdmission.earliestProbeMs(server)
         : undefined,
     };
-    if (isModelServer && silenceWatch.isQuiet(waiting, nowMs)) {
+    if (isModelServer && serverStallDetector.needsProbe(waiting, nowMs)) {
       serverProbe.ask(
         server,
         (notice) => this.#probeAnswered(server, { notice, sentMs: nowMs }),
       );
     }
-    return silenceWatch.judge(waiting, nowMs);
+    return serverStallDetector.detectStall(waiting, nowMs);
   }
 
   #probeAnswered(
@@ -82,6 +82,6 @@
 
   #hasRestarted(server: ServerRecord): boolean {
     const listed = this.#deps.serverDirectory.get(server.instance);
-    return listed !== undefined && isLaterLife(listed, server);
+    return listed !== undefined && isLaterIncarnation(listed, server);
   }
 }
--- a/src/gateway/attempt_stall_detector_test.ts
+++ b/src/gateway/attempt_stall_detector_test.ts
@@ -10,7 +10,7 @@
 import type { RouteId } from "../core/ids.ts";
 import type { Route } from "../core/routes/route.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
-import { SilenceWatch } from "../core/servers/silence.ts";
+import { ServerStallDetector } from "../core/servers/server_stall_detector.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerAdmission } from "./server_admission.ts";
 import type { ServerNoticeHandler } from "./server_notice_handler.ts";
@@ -44,7 +44,7 @@
   probes = 0;
   detector = new AttemptStallDetector({
     serverDirectory,
-    silenceWatch: new SilenceWatch(),
+    serverStallDetector: new ServerStallDetector(),
     serverProbe: { ask: () => void (probes += 1) } as unknown as ServerProbe,
     serverNoticeHandler: {} as ServerNoticeHandler,
     attemptAcks: { probeAnswered: () => {} },
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -6,7 +6,7 @@
 import type { ColdServers } from "../core/servers/cold_servers.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import type { ServerLimits } from "../core/servers/server_limits.ts";
-import type { ServerRests } from "../core/servers/server_rests.ts";
+import type { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import { formatAddress } from "../runtime/address.ts";
 import { listenHttp } from "../runtime/listen.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -37,7 +37,7 @@
   readonly serverFollower: ServerFollower;
   readonly memberTable: MemberTable;
   readonly coldServers: ColdServers;
-  readonly serverRests: ServerRests;
+  readonly serverBackoffs: ServerBackoffs;
   readonly serverLimits: ServerLimits;
   readonly crashBook: CrashBook;
   readonly clock: Clock;
@@ -117,7 +117,7 @@
   /** Sets the gauges to the current state as this VM sees it. */
   #updateGauges(): void {
     const { gatewayMetrics, routingFollower, memberTable } = this.#deps;
-    const { serverDirectory, coldServers, serverRests, serverLimits } =
+    const { serverDirectory, coldServers, serverBackoffs, serverLimits } =
       this.#deps;
     const { crashBook, clock } = this.#deps;
     const { version, ageMs } = routingFollower.confirmation;
@@ -127,11 +127,13 @@
     gatewayMetrics.unreadableServers.set(this.#deps.serverFollower.unreadable);
     gatewayMetrics.evacuatedDataCentres.set(serverDirectory.evacuated.size);
     gatewayMetrics.coldServers.set(coldServers.count(clock.monotonicMs()));
-    gatewayMetrics.serversInBackoff.set(serverRests.count(clock.monotonicMs()));
+    gatewayMetrics.serversInBackoff.set(
+      serverBackoffs.count(clock.monotonicMs()),
+    );
     gatewayMetrics.rateLimitedServers.set(
       serverLimits.count(clock.monotonicMs()),
     );
-    gatewayMetrics.leavingServers.set(serverDirectory.leavingLives().length);
+    gatewayMetrics.leavingServers.set(serverDirectory.leavingServers().length);
     gatewayMetrics.suspectedRequests.set(crashBook.size);
     gatewayMetrics.poisonRequests.set(crashBook.poison.size);
     gatewayMetrics.members.set(memberTable.others().length);
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -54,8 +54,10 @@
       components.backendConnections.drop(instance);
       components.coldAdmission.remove(instance);
       components.limitAdmission.remove(instance);
-      components.serverLoads.forget(instance);
-      components.silenceWatch.forgetLongSilent(components.clock.monotonicMs());
+      components.serverLoads.remove(instance);
+      components.serverStallDetector.removeInactive(
+        components.clock.monotonicMs(),
+      );
       components.serverProbe.forget(instance);
       components.promptHolders.recordServerEnd(
         instance,
--- a/src/gateway/request_crash_tracker.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -3,7 +3,10 @@
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { Standing } from "../core/crashes/crash_book.ts";
 import type { ServerLife } from "../core/ids.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import { pause } from "../runtime/pause.ts";
 import type { CrashDetector, MonitoredRequest } from "./crash_detector.ts";
 import type { AttemptRecord } from "./attempt_record.ts";
@@ -72,7 +75,7 @@
       ...new Set([...this.#crashedServers, ...this.#disconnectedServers]),
     ];
     const attempt = { server, record, precedingServers };
-    this.#disconnectedServers.push(lifeOf(server));
+    this.#disconnectedServers.push(incarnationIdOf(server));
     const checked = this.#detector.recordDisconnect(this.#request, attempt);
     await Promise.race([checked, pause(MAX_CRASH_CHECK_WAIT_MS)]);
   }
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -112,7 +112,8 @@
 }
 
 function describeRetryBudget(
-  { left, earned, unread, allowance, held, requests, vms }: RetryBudgetState,
+  { available: left, earned, unacked: unread, allowance, held, requests, vms }:
+    RetryBudgetState,
 ): string {
   return `${left.toFixed(1)} available: ${earned.toFixed(1)} earned, ` +
     `${allowance.toFixed(1)} of the allowance shared by ${
--- a/src/gateway/retry_permit.ts
+++ b/src/gateway/retry_permit.ts
@@ -34,12 +34,12 @@
 
   /** Whether a permit is held or can be acquired. */
   get isAvailable(): boolean {
-    return this.#isHeld || this.budgetState().left >= 1;
+    return this.#isHeld || this.budgetState().available >= 1;
   }
 
   /** Whether a permit is left beyond those reserved for requests that would lose their response. */
   get hasSpare(): boolean {
-    return this.budgetState().spare >= 1;
+    return this.budgetState().unreserved >= 1;
   }
 
   /** Current state of the retry budget of the service. */
@@ -77,7 +77,7 @@
     const retry = this.#sent.shift();
     if (retry === undefined) return;
     const { retryBudget, clock } = this.#deps;
-    retryBudget.arrived(retry, clock.monotonicMs());
+    retryBudget.recordArrival(retry, clock.monotonicMs());
   }
 
   /** Returns the permit to the budget, if one is held. */
--- a/src/gateway/server_admission.ts
+++ b/src/gateway/server_admission.ts
@@ -6,16 +6,19 @@
   SendReservation,
 } from "../core/routing/limit_admission.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
-import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
+import {
+  incarnationIdOf,
+  type ServerRecord,
+} from "../core/servers/server_record.ts";
 import type { ServerLimits } from "../core/servers/server_limits.ts";
-import type { ServerRests } from "../core/servers/server_rests.ts";
+import type { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { ColdServerGuard } from "./cold_server_guard.ts";
 
 interface Deps {
   readonly serverDirectory: ServerDirectory;
-  readonly serverRests: ServerRests;
+  readonly serverBackoffs: ServerBackoffs;
   readonly serverLimits: ServerLimits;
   readonly limitAdmission: LimitAdmission;
   readonly coldServerGuard: ColdServerGuard;
@@ -46,8 +49,8 @@
 
   /** Servers that accept a request from this VM now: not in backoff, and within their rate limit. */
   filterAvailable(servers: readonly ServerRecord[]): readonly ServerRecord[] {
-    const { serverRests, serverLimits } = this.#deps;
-    if (serverRests.isEmpty && serverLimits.isEmpty) return servers;
+    const { serverBackoffs, serverLimits } = this.#deps;
+    if (serverBackoffs.isEmpty && serverLimits.isEmpty) return servers;
     return servers.filter((server) =>
       this.#isOutOfBackoff(server) && this.#hasPermit(server)
     );
@@ -67,7 +70,7 @@
   filterRateLimited(servers: readonly ServerRecord[]): readonly ServerRecord[] {
     const { serverLimits } = this.#deps;
     if (serverLimits.isEmpty) return [];
-    return servers.filter((server) => serverLimits.of(server) !== undefined);
+    return servers.filter((server) => serverLimits.get(server) !== undefined);
   }
 
   /**
@@ -76,31 +79,34 @@
    * only after its backoff period.
    */
   earliestProbeMs(server: ServerRecord): number | undefined {
-    const { serverLimits, serverRests } = this.#deps;
-    if (serverLimits.of(server) !== undefined) return Infinity;
-    const times = [serverLimits.endedMs(server), serverRests.untilMs(server)]
+    const { serverLimits, serverBackoffs } = this.#deps;
+    if (serverLimits.get(server) !== undefined) return Infinity;
+    const times = [
+      serverLimits.endedAtMs(server),
+      serverBackoffs.untilMs(server),
+    ]
       .filter((atMs) => atMs !== undefined);
     return times.length === 0 ? undefined : Math.max(...times);
   }
 
   /** Whether a request may still be sent to its server; checked right before its first byte. */
   maySend(server: ServerRecord, reservation: SendReservation): boolean {
-    const { serverDirectory, serverRests, clock } = this.#deps;
+    const { serverDirectory, serverBackoffs, clock } = this.#deps;
     return serverDirectory.isUsable(server.instance) &&
-      serverRests.leftMs(server, clock.monotonicMs()) === 0 &&
+      serverBackoffs.leftMs(server, clock.monotonicMs()) === 0 &&
       reservation.tryAcquire();
   }
 
   /** Counts a request that is about to be sent, and reserves a rate-limit permit for it. */
   reserve(server: ServerRecord): SendReservation {
-    const { coldServerGuard, serverRests, limitAdmission, clock, logger } =
+    const { coldServerGuard, serverBackoffs, limitAdmission, clock, logger } =
       this.#deps;
     coldServerGuard.recordSend(server);
-    if (serverRests.sending(server, clock.monotonicMs())) {
+    if (serverBackoffs.recordSend(server, clock.monotonicMs())) {
       logger.info(
         "Sending first request to server after its requested backoff period",
         {
-          server: lifeOf(server),
+          server: incarnationIdOf(server),
           service: server.service,
         },
       );
@@ -110,7 +116,7 @@
 
   /** Records that a server accepted a request sent at `sentMs`, which may end its backoff. */
   recordAccepted(server: ServerRecord, sentMs: number): void {
-    this.#deps.serverRests.took(server, sentMs);
+    this.#deps.serverBackoffs.recordAccepted(server, sentMs);
   }
 
   /**
@@ -118,11 +124,12 @@
    * undefined if one accepts requests now, or if there are no servers.
    */
   opensInMs(servers: readonly ServerRecord[]): number | undefined {
-    const { serverRests, coldServerGuard, limitAdmission, clock } = this.#deps;
+    const { serverBackoffs, coldServerGuard, limitAdmission, clock } =
+      this.#deps;
     const nowMs = clock.monotonicMs();
     const waitsMs = servers.map((server) =>
       Math.max(
-        serverRests.opensInMs(server, nowMs),
+        serverBackoffs.opensInMs(server, nowMs),
         coldServerGuard.warmInMs(server),
         limitAdmission.opensInMs(server),
       )
@@ -132,9 +139,9 @@
   }
 
   #isOutOfBackoff(server: ServerRecord): boolean {
-    const { serverRests, clock } = this.#deps;
-    return serverRests.isEmpty ||
-      serverRests.opensInMs(server, clock.monotonicMs()) === 0;
+    const { serverBackoffs, clock } = this.#deps;
+    return serverBackoffs.isEmpty ||
+      serverBackoffs.opensInMs(server, clock.monotonicMs()) === 0;
   }
 
   #hasPermit(server: ServerRecord): boolean {
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -12,7 +12,7 @@
 import { ServerLoads } from "../core/servers/server_loads.ts";
 import { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
 import { ServerLimits } from "../core/servers/server_limits.ts";
-import { ServerRests } from "../core/servers/server_rests.ts";
+import { ServerBackoffs } from "../core/servers/server_backoffs.ts";
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { unitHash } from "../runtime/hashing.ts";
 import { SilentLogger } from "../runtime/logger.ts";
@@ -61,7 +61,7 @@
 describe("ServerSelector while servers are in backoff", () => {
   let nowMs: number;
   let serverDirectory: ServerDirectory;
-  let serverRests: ServerRests;
+  let serverBackoffs: ServerBackoffs;
   let serverLimits: ServerLimits;
   let limitAdmission: LimitAdmission;
   let sessionBook: SessionBook;
@@ -72,7 +72,7 @@
   beforeEach(() => {
     nowMs = 10_000;
     serverDirectory = new ServerDirectory();
-    serverRests = new ServerRests();
+    serverBackoffs = new ServerBackoffs();
     sessionBook = new SessionBook(60_000);
     serverLoads = new ServerLoads();
     const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
@@ -90,7 +90,7 @@
     nowMs += SETTLE_MS;
     serverAdmission = new ServerAdmission({
       serverDirectory,
-      serverRests,
+      serverBackoffs,
       serverLimits,
       limitAdmission,
       coldServerGuard: {
@@ -147,11 +147,13 @@
   }
 
   function backOff(server: typeof STABLE): void {
-    serverRests.ask(server, { restMs: BACKOFF_MS, nowMs });
+    serverBackoffs.start(server, { restMs: BACKOFF_MS, nowMs });
   }
 
   it("should not choose a server in backoff even if the others have failed", () => {
-    for (let n = 0; n < 3; n++) serverLoads.failed(STABLE.instance, nowMs);
+    for (let n = 0; n < 3; n++) {
+      serverLoads.recordFailure(STABLE.instance, nowMs);
+    }
     backOff(TRIAL);
     assert.equal(chooseInstance(), STABLE.instance);
     backOff(STABLE);
@@ -192,7 +194,7 @@
 
   it("should skip a server at its rate limit and use each permit once", () => {
     const limit = { life: STABLE, limitPerS: 1, atMs: nowMs };
-    serverLimits.hear(limit);
+    serverLimits.receive(limit);
     backOff(TRIAL);
     // The first permit of a VM's share of the limit becomes available after one interval.
     assert.equal(chooseInstance(), undefined);
@@ -209,7 +211,7 @@
     );
     assert.equal(chooseInstance(), undefined);
     const endedMs = nowMs + 1;
-    serverLimits.namesNone(STABLE, endedMs);
+    serverLimits.receiveNoLimit(STABLE, endedMs);
     assert.equal(chooseInstance(), STABLE.instance);
     assert.equal(serverAdmission.earliestProbeMs(STABLE), endedMs);
   });
@@ -221,7 +223,7 @@
     assert.equal(serverAdmission.maySend(STABLE, permit), false);
     nowMs += BACKOFF_MS;
     assert.equal(serverAdmission.maySend(STABLE, permit), true);
-    serverDirectory.leaves(STABLE);
+    serverDirectory.markLeaving(STABLE);
     assert.equal(serverAdmission.maySend(STABLE, permit), false);
   });
 });
--- a/src/gateway/work_predictor.ts
+++ b/src/gateway/work_predictor.ts
@@ -2,7 +2,7 @@
 
 import type { ModelId } from "../core/ids.ts";
 import type { EngineProfile, Service } from "../core/routes/route.ts";
-import type { ReadPace } from "../core/servers/read_pace.ts";
+import type { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 
 /** Assumed prefill speed of a model server until its speed has been observed. */
@@ -41,10 +41,12 @@
 
 /** Predicts the work of requests from the observed prefill speed. */
 export class WorkPredictor {
-  readonly #readPace: ReadPace;
+  readonly #readPace: PrefillTimeEstimator;
 
-  constructor({ readPace }: { readPace: ReadPace }) {
-    this.#readPace = readPace;
+  constructor(
+    { prefillTimeEstimator }: { prefillTimeEstimator: PrefillTimeEstimator },
+  ) {
+    this.#readPace = prefillTimeEstimator;
   }
 
   /** Predicts the work of a request for one service and model. */
--- a/src/gateway/work_predictor_test.ts
+++ b/src/gateway/work_predictor_test.ts
@@ -2,7 +2,7 @@
 import { beforeEach, describe, it } from "node:test";
 import type { ModelId, ServiceId } from "../core/ids.ts";
 import type { Service } from "../core/routes/route.ts";
-import { ReadPace } from "../core/servers/read_pace.ts";
+import { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import { decodeCallerHead } from "../platform/header_wire.ts";
 import { WorkPredictor } from "./work_predictor.ts";
 
@@ -27,17 +27,17 @@
   "fieldrack-prefix-hash": "aa:4000,bb:2000,cc:2000",
 });
 
-let readPace: ReadPace;
+let prefillTimeEstimator: PrefillTimeEstimator;
 
 function predict(model: ModelId) {
-  return new WorkPredictor({ readPace }).predict(HEAD, {
+  return new WorkPredictor({ prefillTimeEstimator }).predict(HEAD, {
     service: SERVICE,
     model,
   });
 }
 
 beforeEach(() => {
-  readPace = new ReadPace();
+  prefillTimeEstimator = new PrefillTimeEstimator();
 });
 
 describe("work predictor", () => {
@@ -54,7 +54,7 @@
 
   it("should use the observed prefill speed", () => {
     for (let n = 0; n < 40; n++) {
-      readPace.observe({
+      prefillTimeEstimator.observe({
         service: SERVICE.id,
         model: LARGE,
         tokens: 2_000,
@@ -65,7 +65,7 @@
   });
 
   it("should predict no shared prefill for a service without models", () => {
-    const predictor = new WorkPredictor({ readPace });
+    const predictor = new WorkPredictor({ prefillTimeEstimator });
     const plain = { ...SERVICE, engine: undefined };
     const work = predictor.predict(HEAD, { service: plain, model: undefined });
     assert.equal(work.sharedPrefillMs, 0);
