--- a/src/core/cascade/cascade_plan.ts
+++ b/src/core/cascade/cascade_plan.ts
@@ -1,30 +1,30 @@
-/** Turns the name that a caller gives into the models to try, in order. */
+/** Resolves the model or cascade name of a request to the models to try, in order. */
 
 import type { Account, Cascade, Model } from "../config/configuration.ts";
 import type { ConfigurationIndex } from "../config/configuration_index.ts";
 import type { RequestError } from "../request_error.ts";
 import { fail, ok, type Result } from "../result.ts";
 
-/** One model of a plan and how its answer is judged. */
-export interface PlanStep {
+/** One model of a cascade and the rules for evaluating its answer. */
+export interface CascadeStep {
   readonly model: Model;
-  /** Rules for going on to the next step; absent on the last one. */
-  readonly judge?: JudgeRules;
+  /** Rules for escalating to the next step; absent on the last one. */
+  readonly escalation?: EscalationRules;
 }
 
-/** When an answer is too poor to be passed on. */
-export interface JudgeRules {
-  /** Mean log-probability of tokens under which the next step is tried. */
+/** When an answer is rejected in favour of the next step. */
+export interface EscalationRules {
+  /** Mean token log-probability below which the next step is tried. */
   readonly escalateBelow: number;
-  /** Tokens of a stream that are held back until it is judged. */
-  readonly judgeTokens: number;
+  /** Number of tokens of a stream that are held back until they are evaluated. */
+  readonly tokensToJudge: number;
 }
 
-/** Returns the steps for `name`, or why the account gets none. */
-export function planRequest(
+/** Returns the steps for `name`, or the reason why the account may not use it. */
+export function planCascade(
   index: ConfigurationIndex,
   { account, name }: { account: Account; name: string },
-): Result<PlanStep[], RequestError> {
+): Result<CascadeStep[], RequestError> {
   const model = index.model(name);
   const cascade = index.cascade(name);
   if (model === undefined && cascade === undefined) {
@@ -32,24 +32,24 @@
   }
   if (!account.models.includes(name)) return fail({ tag: "not_allowed", name });
   if (model !== undefined) return ok([{ model }]);
-  return ok(withoutLastJudge(stepsOf(index, cascade as Cascade)));
+  return ok(withoutLastEscalation(stepsOf(index, cascade as Cascade)));
 }
 
-/** An account that may use a cascade may use its models, but only by way of it. */
-function stepsOf(index: ConfigurationIndex, cascade: Cascade): PlanStep[] {
-  const judge = {
+/** An account with access to a cascade may use its models, but only through the cascade. */
+function stepsOf(index: ConfigurationIndex, cascade: Cascade): CascadeStep[] {
+  const escalation = {
     escalateBelow: cascade.escalate_below,
-    judgeTokens: cascade.judge_tokens,
+    tokensToJudge: cascade.judge_tokens,
   };
   return cascade.steps.flatMap((step) => {
     const model = index.model(step);
-    if (model !== undefined) return [{ model, judge }];
+    if (model !== undefined) return [{ model, escalation }];
     const nested = index.cascade(step);
     return nested === undefined ? [] : stepsOf(index, nested);
   });
 }
 
-function withoutLastJudge(steps: PlanStep[]): PlanStep[] {
+function withoutLastEscalation(steps: CascadeStep[]): CascadeStep[] {
   return steps.map((step, at) =>
     at < steps.length - 1 ? step : { model: step.model }
   );
--- a/src/core/crashes/crash.ts
+++ b/src/core/crashes/crash.ts
@@ -1,42 +1,45 @@
-/** The end of a backend server under a request that had just begun to run there. */
+/** A backend server that ended while a request was beginning to run on it. */
 
 import type { AccountId, RequestKey, ServerLife } from "../ids.ts";
 
-/** One request and one server that ended under it. Times are of the monotonic clock. */
+/** One server crash attributed to one request. Times are from the monotonic clock. */
 export interface Crash {
   readonly request: RequestKey;
-  /** Undefined where the route needs no key. */
+  /** Undefined where the route needs no API key. */
   readonly account: AccountId | undefined;
-  /** The life of the server that ended; two VMs that saw it end name the same one. */
+  /** Incarnation of the server that ended; the same on every VM that observed the crash. */
   readonly life: ServerLife;
   /** `IP:port` of the server. */
   readonly address: string;
-  /** Servers that were known to have ended under the request, or had lost it, before this one got it. */
+  /**
+   * Incarnations that were known to have ended under the request, or had dropped its connection,
+   * before it was sent to this server.
+   */
   readonly after: readonly ServerLife[];
   readonly beganMs: number;
   readonly endedMs: number;
-  /** Servers of the service that were known then, this one included. */
+  /** Number of servers known for the service at that time, including this one. */
   readonly serviceSize: number;
 }
 
 /**
- * A request that crashes servers does so as it begins to run; what merely runs beside it, or on a
- * server that crashes by itself, may be at any stage. Wide, for slow servers and VMs.
+ * A request that crashes servers does so as it begins to run, while a bystander, or a request on
+ * a server that crashes by itself, may be at any stage. Wide enough for slow servers and VMs.
  */
-const BEGIN_WINDOW_MS = 1_000;
+const CRASH_WINDOW_MS = 1_000;
 
-/** Whether a run that ended with its server may have ended it. */
-export function mayHaveCrashed(
+/** Whether a run that ended together with its server may have caused the crash. */
+export function mayHaveCausedCrash(
   { streaming, firstByteMs, endedMs }: {
-    /** Whether the first byte of an answer shows that the run has begun. */
+    /** Whether the first byte of the response indicates that the run has begun. */
     readonly streaming: boolean;
-    /** Time from the sending to the first byte, if one came. */
+    /** Time from sending the request to the first byte, if one was received. */
     readonly firstByteMs: number | undefined;
-    /** Time from the sending to the end. */
+    /** Time from sending the request to the end of the run. */
     readonly endedMs: number;
   },
 ): boolean {
-  // A stream without a byte was read or waited for a place: it had not begun.
+  // A streaming request without a first byte was in prefill or queued: its run had not begun.
   if (streaming && firstByteMs === undefined) return false;
-  return endedMs - (firstByteMs ?? 0) <= BEGIN_WINDOW_MS;
+  return endedMs - (firstByteMs ?? 0) <= CRASH_WINDOW_MS;
 }
--- /dev/null
+++ b/src/core/crashes/crash_attribution_test.ts
@@ -0,0 +1,132 @@
+import assert from "node:assert/strict";
+import { describe, it } from "node:test";
+import type { RequestKey, ServerLife } from "../ids.ts";
+import { type Crash, mayHaveCausedCrash } from "./crash.ts";
+import {
+  countSequentialCrashes,
+  findCrashingRequests,
+  type Suspect,
+} from "./crash_attribution.ts";
+
+const SERVICE_SIZE = 8;
+
+/** A crash under a request; `n` determines both the server and the time. */
+function crash(request: string, n: number, patch: Partial<Crash> = {}): Crash {
+  return {
+    request: request as RequestKey,
+    account: undefined,
+    life: `i-${n}` as ServerLife,
+    address: `10.0.0.${n}:1`,
+    after: [],
+    beganMs: n * 10_000 - 50,
+    endedMs: n * 10_000,
+    serviceSize: SERVICE_SIZE,
+    ...patch,
+  };
+}
+
+function suspect(request: string, servers: readonly number[]): Suspect {
+  return {
+    request: request as RequestKey,
+    crashes: servers.map((n) => crash(request, n)),
+  };
+}
+
+function culpritsOf(...suspects: Suspect[]): string[] {
+  return [...findCrashingRequests(suspects)].sort();
+}
+
+describe("crash attribution", () => {
+  it("should accuse a request after three crashes, and not before", () => {
+    assert.deepEqual(culpritsOf(suspect("a", [1, 2])), []);
+    assert.deepEqual(culpritsOf(suspect("a", [1, 2, 3])), ["a"]);
+  });
+
+  it("should not accuse bystanders of a culprit, however many crashes they have", () => {
+    // From an incident: 26 crashes of the culprit, six and five of innocent requests.
+    const culprit = Array.from({ length: 26 }, (_, n) => n + 1);
+    assert.deepEqual(
+      culpritsOf(
+        suspect("beside", [1, 2, 3, 4, 5, 6]),
+        suspect("culprit", culprit),
+        suspect("also", [2, 4, 8, 16, 20]),
+      ),
+      ["culprit"],
+    );
+  });
+
+  it("should accuse neither of two requests with the same crashes", () => {
+    const same = [suspect("a", [1, 2, 3]), suspect("b", [1, 2, 3])];
+    assert.deepEqual(culpritsOf(...same), []);
+    const next = [suspect("a", [1, 2, 3, 4]), suspect("b", [1, 2, 3])];
+    assert.deepEqual(culpritsOf(...next), ["a"]);
+  });
+
+  it("should find several concurrent culprits", () => {
+    assert.deepEqual(
+      culpritsOf(
+        suspect("a", [1, 2, 3, 4, 5]),
+        suspect("b", [5, 6, 7, 8]),
+        suspect("beside", [1, 2, 6, 7]),
+      ),
+      ["a", "b"],
+    );
+  });
+
+  it("should not accuse a request of many callers whose servers fail together", () => {
+    const together = [1, 2, 3, 4].map((n) =>
+      crash("hot", n, { beganMs: 500 + n, endedMs: 1_000 + n })
+    );
+    const hot = { request: "hot" as RequestKey, crashes: together };
+    assert.deepEqual(culpritsOf(hot), []);
+  });
+
+  it("should not accuse a request that repeatedly runs on one failing server", () => {
+    const crashes = [1, 2, 3, 4].map((n) =>
+      crash("a", n, { address: "10.0.0.1:1" })
+    );
+    assert.deepEqual(culpritsOf({ request: "a" as RequestKey, crashes }), []);
+  });
+
+  it("should count one server several times if the service has no other", () => {
+    const crashes = [1, 2, 3].map((n) =>
+      crash("a", n, { address: "10.0.0.1:1", serviceSize: 1 })
+    );
+    assert.equal(countSequentialCrashes(crashes), 3);
+  });
+
+  it("should order runs whose sender knew of the earlier crashes", () => {
+    const known: ServerLife[] = [];
+    const crashes = [1, 2, 3].map((n) => {
+      // So close together that report delays could reverse their order.
+      const one = crash("a", n, {
+        beganMs: 1_000 + 2 * n,
+        endedMs: 1_001 + 2 * n,
+        after: [...known],
+      });
+      known.push(one.life);
+      return one;
+    });
+    assert.equal(countSequentialCrashes(crashes), 3);
+    const unknown = crashes.map((one) => ({ ...one, after: [] }));
+    assert.equal(countSequentialCrashes(unknown), 1);
+  });
+});
+
+describe("run that ended with its server", () => {
+  it("should be suspected only if it had just begun", () => {
+    const stream = { streaming: true, firstByteMs: 700 };
+    assert.ok(mayHaveCausedCrash({ ...stream, endedMs: 800 }));
+    assert.ok(!mayHaveCausedCrash({ ...stream, endedMs: 2_500 }));
+  });
+
+  it("should not be suspected while it waited for its first token", () => {
+    const waiting = { streaming: true, firstByteMs: undefined };
+    assert.ok(!mayHaveCausedCrash({ ...waiting, endedMs: 100 }));
+  });
+
+  it("should be suspected without a first byte if the response is not streamed", () => {
+    const plain = { streaming: false, firstByteMs: undefined };
+    assert.ok(mayHaveCausedCrash({ ...plain, endedMs: 30 }));
+  });
+});
--- /dev/null
+++ b/src/core/rollout/canary_analyzer_test.ts
@@ -0,0 +1,59 @@
+import assert from "node:assert/strict";
+import { describe, it } from "node:test";
+import type { ReleaseId, RouteId, ServiceId } from "../ids.ts";
+import { EvidenceAggregator } from "./evidence.ts";
+import { CanaryAnalyzer } from "./canary_analyzer.ts";
+
+const SERVICE = "inspect" as ServiceId;
+const OLD = "v1" as ReleaseId;
+const NEW = "v2" as ReleaseId;
+
+function fixture() {
+  const evidenceAggregator = new EvidenceAggregator();
+  const analyzer = new CanaryAnalyzer({ evidenceAggregator });
+  const answer = (release: ReleaseId, count: number, failures = 0) => {
+    for (let n = 0; n < count; n++) {
+      evidenceAggregator.observe({
+        service: SERVICE,
+        release,
+        route: "r-1" as RouteId,
+        failed: n < failures,
+        firstByteMs: 100,
+      });
+    }
+  };
+  const analyzeAt = (share: number) =>
+    analyzer.analyze({
+      service: SERVICE,
+      release: NEW,
+      stableRelease: OLD,
+      share,
+    });
+  return { answer, analyzeAt };
+}
+
+describe("canary analyzer", () => {
+  it("should evaluate a step by the answers since the share grew", () => {
+    const { answer, analyzeAt } = fixture();
+    answer(OLD, 200, 2);
+    analyzeAt(0.09);
+    answer(NEW, 200);
+    assert.equal(analyzeAt(0.09).stepEvaluation.tag, "sound");
+    assert.equal(analyzeAt(1).stepEvaluation.tag, "unsure");
+    answer(NEW, 12, 5);
+    const analysis = analyzeAt(1);
+    assert.notEqual(analysis.evaluation.tag, "bad");
+    assert.equal(analysis.stepEvaluation.tag, "bad");
+  });
+
+  it("should count the answers of both releases", () => {
+    const { answer, analyzeAt } = fixture();
+    answer(OLD, 30);
+    answer(NEW, 4);
+    const { canaryAnswers, totalAnswers } = analyzeAt(0.09);
+    assert.deepEqual({ canaryAnswers, totalAnswers }, {
+      canaryAnswers: 4,
+      totalAnswers: 34,
+    });
+  });
+});
--- /dev/null
+++ b/src/core/rollout/canary_evaluation.ts
@@ -0,0 +1,107 @@
+/** Evaluates a canary against the stable release that it is to replace. */
+
+import type { Evidence, EvidenceByKind } from "./evidence.ts";
+import { logLikelihoodRatio } from "./failure_likelihood.ts";
+
+/** `bad` ends the roll-out, `sound` lets it proceed, `unsure` requires more answers. */
+export type CanaryEvaluation =
+  | { readonly tag: "unsure"; readonly answers: number }
+  | { readonly tag: "sound"; readonly answers: number }
+  | {
+    readonly tag: "bad";
+    /** Route and model on which the release is bad; undefined if over all of them together. */
+    readonly kind: string | undefined;
+    readonly reason: "failures" | "slow";
+    readonly answers: number;
+    readonly failures: number;
+  };
+
+/** Minimum number of canary failures before a release is found bad. */
+const MIN_FAILURES = 4;
+/**
+ * Log-likelihood ratio from which a release is bad. About ten routes and models are tested
+ * repeatedly, so that a ratio of 20, as for a single test, would occur by chance in many roll-outs.
+ */
+const BAD_LOG_RATIO = Math.log(300);
+/** Log-likelihood ratio up to which a release is sound, so that its share may grow. */
+const SOUND_LOG_RATIO = -Math.log(4);
+/** Minimum number of answers per route and model before latency is evaluated. */
+const MIN_LATENCY_ANSWERS = 10;
+/**
+ * Ratio of the geometric mean latencies from which a release is bad. High enough for a cold cache, with
+ * which a release has to prefill whole prompts that are mostly cached otherwise.
+ */
+const SLOW_FACTOR = 4.2;
+/** Minimum number of canary answers before a release is found sound. */
+const MIN_SOUND_ANSWERS = 12;
+
+/** Evaluates a canary by the evidence of the whole fleet. */
+export function evaluateCanary(
+  { stable, canary }: {
+    stable: EvidenceByKind;
+    canary: EvidenceByKind;
+  },
+): CanaryEvaluation {
+  const canaryTotal = sum([...canary.values()]);
+  const stableTotal = sum([...stable.values()]);
+  const totals = {
+    canary: canaryTotal,
+    stable: stableTotal,
+    overall: stableTotal,
+  };
+  const bad = checkFailures(undefined, totals);
+  if (bad !== undefined) return bad;
+  for (const [kind, evidence] of canary) {
+    const stableCounts = stable.get(kind);
+    const badKind = checkFailures(kind, {
+      canary: evidence,
+      stable: stableCounts ?? stableTotal,
+      overall: stableTotal,
+    }) ?? checkLatency(kind, { canary: evidence, stable: stableCounts });
+    if (badKind !== undefined) return badKind;
+  }
+  const { answers } = canaryTotal;
+  const sound = answers >= MIN_SOUND_ANSWERS &&
+    logLikelihoodRatio(canaryTotal, totals) <= SOUND_LOG_RATIO;
+  return { tag: sound ? "sound" : "unsure", answers };
+}
+
+type Counts = Pick<Evidence, "answers" | "failures" | "logMsSum">;
+
+function checkFailures(
+  kind: string | undefined,
+  { canary, stable, overall }: {
+    canary: Counts;
+    stable: Counts;
+    overall: Counts;
+  },
+): CanaryEvaluation | undefined {
+  const { answers, failures } = canary;
+  if (failures < MIN_FAILURES) return undefined;
+  const ratio = logLikelihoodRatio(canary, { stable, overall });
+  if (ratio < BAD_LOG_RATIO) return undefined;
+  return { tag: "bad", kind, reason: "failures", answers, failures };
+}
+
+function checkLatency(
+  kind: string,
+  { canary, stable }: { canary: Counts; stable: Counts | undefined },
+): CanaryEvaluation | undefined {
+  if (stable === undefined || stable.answers < MIN_LATENCY_ANSWERS) {
+    return undefined;
+  }
+  if (canary.answers < MIN_LATENCY_ANSWERS) return undefined;
+  const logSlowdown = canary.logMsSum / canary.answers -
+    stable.logMsSum / stable.answers;
+  if (logSlowdown < Math.log(SLOW_FACTOR)) return undefined;
+  const { answers, failures } = canary;
+  return { tag: "bad", kind, reason: "slow", answers, failures };
+}
+
+function sum(rows: readonly Counts[]): Counts {
+  return rows.reduce<Counts>((total, row) => ({
+    answers: total.answers + row.answers,
+    failures: total.failures + row.failures,
+    logMsSum: total.logMsSum + row.logMsSum,
+  }), { answers: 0, failures: 0, logMsSum: 0 });
+}
--- a/src/core/rollout/evidence.ts
+++ b/src/core/rollout/evidence.ts
@@ -1,4 +1,4 @@
-/** Counts how the answers of each release do, here and at other VMs. */
+/** Failures and latencies of the answers of each release, on this VM and on others. */
 
 import type {
   EntryId,
@@ -13,56 +13,56 @@
   readonly service: ServiceId;
   readonly release: ReleaseId;
   readonly route: RouteId;
-  /** Undefined where the system did not choose the model. */
+  /** Undefined if the model was not chosen by the router. */
   readonly model?: ModelId | undefined;
   readonly answers: number;
-  /** Answers that failed; they count among the answers as well. */
+  /** Failed answers; included in `answers`. */
   readonly failures: number;
   /** Sum of the natural logarithms of the times to the first byte, in milliseconds. */
   readonly logMsSum: number;
 }
 
-/** Evidence by route and model, whose answers are alike enough to compare. */
+/** Evidence by route and model: only answers of the same route and model are comparable. */
 export type EvidenceByKind = ReadonlyMap<string, Evidence>;
 
-/** One answer, as evidence. */
-export interface Observation {
+/** Outcome of one answer. */
+export interface AnswerObservation {
   readonly service: ServiceId;
   readonly release: ReleaseId;
   readonly route: RouteId;
   readonly model?: ModelId | undefined;
   readonly failed: boolean;
-  /** Time to the first byte; undefined where none came. */
+  /** Time to the first byte; undefined if none was received. */
   readonly firstByteMs: number | undefined;
 }
 
-/** Whose evidence is told: a VM's own, a relay's and its followers', or the fleet's. */
+/** What evidence covers: the sending VM, a relay and its followers, or the whole fleet. */
 export type EvidenceScope = "own" | "group" | "fleet";
 
-/** Evidence that another VM has told. */
-export interface ToldEvidence {
-  /** Life of the process that tells. */
+/** Evidence that another VM has sent. */
+export interface ReceivedEvidence {
+  /** Incarnation of the sending process. */
   readonly life: number;
   readonly scope: EvidenceScope;
   readonly evidence: readonly Evidence[];
 }
 
-interface Told {
+interface PeerEvidence {
   readonly vm: EntryId;
-  readonly told: ToldEvidence;
+  readonly report: ReceivedEvidence;
 }
 
-/** Evidence of this VM and the last that each other VM told. */
-export class EvidenceBook {
+/** Aggregates the evidence of this VM and the latest that each other VM has sent. */
+export class EvidenceAggregator {
   readonly #own = new Map<string, Evidence>();
-  readonly #told = new Map<string, Told>();
+  readonly #reports = new Map<string, PeerEvidence>();
 
   /** Counts an answer. */
-  observe(observation: Observation): void {
-    const { failed, firstByteMs, ...about } = observation;
-    const key = `${about.service}/${about.release}/${kindOfEvidence(about)}`;
+  observe(observation: AnswerObservation): void {
+    const { failed, firstByteMs, ...origin } = observation;
+    const key = `${origin.service}/${origin.release}/${evidenceKey(origin)}`;
     const known = this.#own.get(key) ??
-      { ...about, answers: 0, failures: 0, logMsSum: 0 };
+      { ...origin, answers: 0, failures: 0, logMsSum: 0 };
     this.#own.set(key, {
       ...known,
       answers: known.answers + 1,
@@ -71,70 +71,79 @@
     });
   }
 
-  /** Evidence of this VM about a service. */
-  own(service: ServiceId): Evidence[] {
+  /** Evidence of this VM on a service. */
+  ownEvidence(service: ServiceId): Evidence[] {
     return [...this.#own.values()].filter((row) => row.service === service);
   }
 
-  /** Takes in what another VM has counted. */
-  hear(vm: EntryId, told: ToldEvidence): void {
-    if (told.evidence.length === 0 && this.#told.size === 0) return;
-    for (const [key, known] of this.#told) {
-      if (replaces({ vm, told }, known)) this.#told.delete(key);
+  /** Stores evidence sent by another VM, replacing earlier evidence that it includes. */
+  receive(vm: EntryId, report: ReceivedEvidence): void {
+    if (report.evidence.length === 0 && this.#reports.size === 0) return;
+    for (const [key, known] of this.#reports) {
+      if (replaces({ vm, report }, known)) this.#reports.delete(key);
     }
-    // Counts of a VM's earlier life stay: those answers were given as well.
-    const key = told.scope === "own" ? `${vm}/${told.life}` : vm;
-    this.#told.set(key, { vm, told });
+    // Counts of earlier incarnations of a VM are kept: those answers were served too.
+    const key = report.scope === "own" ? `${vm}/${report.life}` : vm;
+    this.#reports.set(key, { vm, report });
   }
 
-  /** Evidence of this VM, and what some others have told of themselves, added up. */
-  group(service: ServiceId, vms: ReadonlySet<EntryId>): Evidence[] {
-    const told = [...this.#told.values()].filter(({ vm }) => vms.has(vm));
-    return sumByRelease([...this.own(service), ...rowsOf(told, service)]);
+  /** Sums the evidence of this VM and of the given VMs. */
+  groupEvidence(service: ServiceId, vms: ReadonlySet<EntryId>): Evidence[] {
+    const reports = [...this.#reports.values()].filter(({ vm }) => vms.has(vm));
+    return sumByRelease([
+      ...this.ownEvidence(service),
+      ...rowsOf(reports, service),
+    ]);
   }
 
-  /** Evidence of all but one VM that asks, added up. */
-  allBut(vm: EntryId, service: ServiceId): Evidence[] {
-    const told = [...this.#told.values()].filter((row) => row.vm !== vm);
-    return sumByRelease([...this.own(service), ...rowsOf(told, service)]);
+  /** Sums the evidence of all VMs except the given one. */
+  allExcept(vm: EntryId, service: ServiceId): Evidence[] {
+    const reports = [...this.#reports.values()].filter((row) => row.vm !== vm);
+    return sumByRelease([
+      ...this.ownEvidence(service),
+      ...rowsOf(reports, service),
+    ]);
   }
 
-  /** All evidence about one release, added up by route and model. */
+  /** Sums all evidence on one release by route and model. */
   total(service: ServiceId, release: ReleaseId): EvidenceByKind {
     const all = [
-      ...this.own(service),
-      ...rowsOf([...this.#told.values()], service),
+      ...this.ownEvidence(service),
+      ...rowsOf([...this.#reports.values()], service),
     ];
     return sumByKind(all.filter((row) => row.release === release));
   }
 
-  /** Forgets what one VM has told. */
-  forgetVm(vm: EntryId): void {
-    for (const [key, row] of this.#told) {
-      if (row.vm === vm) this.#told.delete(key);
+  /** Removes what one VM has sent. */
+  removeVm(vm: EntryId): void {
+    for (const [key, row] of this.#reports) {
+      if (row.vm === vm) this.#reports.delete(key);
     }
   }
 
-  /** Forgets what was counted of a service, once its roll-out is over. */
-  forget(service: ServiceId): void {
+  /** Removes the evidence on a service, so that a new roll-out starts from zero. */
+  removeService(service: ServiceId): void {
     for (const [key, row] of this.#own) {
       if (row.service === service) this.#own.delete(key);
     }
-    for (const [key, { vm, told }] of this.#told) {
-      const evidence = told.evidence.filter((row) => row.service !== service);
-      this.#told.set(key, { vm, told: { ...told, evidence } });
+    for (const [key, { vm, report }] of this.#reports) {
+      const evidence = report.evidence.filter((row) => row.service !== service);
+      this.#reports.set(key, { vm, report: { ...report, evidence } });
     }
   }
 }
 
-/** Whether what is told now already contains what was told before. */
-function replaces({ vm, told }: Told, known: Told): boolean {
-  if (told.scope === "fleet" || known.told.scope === "fleet") return true;
+/** Whether newly received evidence already includes what was received before. */
+function replaces(
+  { vm, report }: PeerEvidence,
+  known: PeerEvidence,
+): boolean {
+  if (report.scope === "fleet" || known.report.scope === "fleet") return true;
   return known.vm === vm &&
-    (known.told.scope === "group" || told.scope === "group");
+    (known.report.scope === "group" || report.scope === "group");
 }
 
-/** What was counted after `before`; counts that have shrunk since are taken as none. */
+/** Returns the evidence added since `before`; a count that has decreased yields none. */
 export function evidenceSince(
   before: EvidenceByKind,
   now: EvidenceByKind,
@@ -155,13 +164,16 @@
   return since;
 }
 
-/** Adds up the answers of all kinds. */
+/** Sums the answers over all routes and models. */
 export function countAnswers(evidence: EvidenceByKind): number {
   return [...evidence.values()].reduce((sum, { answers }) => sum + answers, 0);
 }
 
-function rowsOf(told: readonly Told[], service: ServiceId): Evidence[] {
-  return told.flatMap((row) => row.told.evidence)
+function rowsOf(
+  reports: readonly PeerEvidence[],
+  service: ServiceId,
+): Evidence[] {
+  return reports.flatMap((row) => row.report.evidence)
     .filter((row) => row.service === service);
 }
 
@@ -172,7 +184,7 @@
   ]);
 }
 
-function kindOfEvidence(
+function evidenceKey(
   { route, model }: Pick<Evidence, "route" | "model">,
 ): string {
   return `${route}/${model ?? ""}`;
@@ -181,7 +193,7 @@
 function sumByKind(rows: readonly Evidence[]): EvidenceByKind {
   const sums = new Map<string, Evidence>();
   for (const row of rows) {
-    const kind = kindOfEvidence(row);
+    const kind = evidenceKey(row);
     const known = sums.get(kind);
     sums.set(
       kind,
--- a/src/core/rollout/release_gate.ts
+++ b/src/core/rollout/release_gate.ts
@@ -1,152 +1,155 @@
-/** Which releases of a service may get work, by the orders of roll-outs. */
+/** Determines which releases of a service may receive traffic, according to roll-out orders. */
 
 import type { ReleaseId, ServiceId } from "../ids.ts";
 import type { RollOutOrder } from "../servers/roll_out_order.ts";
 import type { ServerRecord } from "../servers/server_record.ts";
-import type { ReleaseKey, Trial } from "./trial.ts";
+import type { Canary, ReleaseKey } from "./canary.ts";
 
 /**
- * A release that nobody has ordered yet is held back this long: servers and orders are
- * learnt by two watches, and the servers may show first. Also the longest time that a
- * list takes to be read again.
+ * How long a release without an order receives no traffic: servers and orders are received by two
+ * separate watches, so servers may appear before their order. Also the maximum time until a
+ * list is read again.
  */
 const UNORDERED_HOLD_MS = 3_000;
 
-/** Releases of one service that may get work. */
-export interface AllowedReleases {
-  /** Servers of the release that serves whatever no roll-out moves. */
+/** Servers of one service that may receive traffic. */
+export interface EligibleServers {
+  /** Servers of the release that serves all traffic outside the roll-out. */
   readonly stable: readonly ServerRecord[];
-  /** Servers of the release on trial; empty unless a roll-out is under way. */
-  readonly trial: readonly ServerRecord[];
+  /** Servers of the canary; empty unless a roll-out is in progress. */
+  readonly canary: readonly ServerRecord[];
 }
 
-/** Keeps orders and the releases that were seen. */
+/** Tracks roll-out orders, canaries, halted releases and when releases first appeared. */
 export class ReleaseGate {
   readonly #orders = new Map<ServiceId, RollOutOrder>();
   readonly #firstSeenMs = new Map<string, number>();
-  readonly #alone = new Set<string>();
-  readonly #trials = new Map<ServiceId, Trial>();
-  readonly #braked = new Map<string, ReleaseKey>();
+  readonly #initialReleases = new Set<string>();
+  readonly #canaries = new Map<ServiceId, Canary>();
+  readonly #halted = new Map<string, ReleaseKey>();
 
-  /** Takes in an order or its state. */
+  /** Sets the order of a service or updates its state. */
   setOrder(order: RollOutOrder): void {
-    // Also the state of an earlier order, which a new one carries until it is begun.
+    // A new order carries the state of the previous one until it is started.
     const { service, stateRelease } = order;
     if (order.state === "rolled_back" && stateRelease !== undefined) {
-      this.brake({ service, release: stateRelease });
+      this.halt({ service, release: stateRelease });
     }
     this.#orders.set(order.service, order);
   }
 
-  /** Forgets the order of a service. */
+  /** Removes the order of a service. */
   removeOrder(service: ServiceId): void {
     this.#orders.delete(service);
   }
 
-  /** Order of a service, if there is one. */
+  /** Returns the order of a service, if there is one. */
   order(service: ServiceId): RollOutOrder | undefined {
     return this.#orders.get(service);
   }
 
   /** Orders that are neither completed nor rolled back. */
-  openOrders(): RollOutOrder[] {
+  activeOrders(): RollOutOrder[] {
     return [...this.#orders.values()].filter((order) => !isDecided(order));
   }
 
-  /** Takes in how far a trial has come; its share never shrinks. */
-  setTrial(trial: Trial): void {
-    const known = this.#trials.get(trial.service);
-    const older = known?.release === trial.release &&
-      known.share >= trial.share;
-    if (!older) this.#trials.set(trial.service, trial);
+  /** Updates the progress of a canary; its share never decreases. */
+  setCanary(canary: Canary): void {
+    const known = this.#canaries.get(canary.service);
+    const isOutdated = known?.release === canary.release &&
+      known.share >= canary.share;
+    if (!isOutdated) this.#canaries.set(canary.service, canary);
   }
 
-  /** Share of sessions that the ordered release of a service gets now. */
-  trialShare(service: ServiceId): number {
-    const trial = this.#trials.get(service);
+  /** Returns the share of sessions that the ordered release of a service receives now. */
+  canaryShare(service: ServiceId): number {
+    const canary = this.#canaries.get(service);
     const order = this.#orders.get(service);
-    if (trial === undefined || trial.release !== order?.release) return 0;
-    return trial.share;
+    if (canary === undefined || canary.release !== order?.release) return 0;
+    return canary.share;
   }
 
-  /** Ends a trial for good; returns whether that is new. */
-  brake({ service, release }: ReleaseKey): boolean {
+  /** Halts a release permanently; returns whether it was not halted before. */
+  halt({ service, release }: ReleaseKey): boolean {
     const key = `${service}/${release}`;
-    if (this.#braked.has(key)) return false;
-    this.#braked.set(key, { service, release });
+    if (this.#halted.has(key)) return false;
+    this.#halted.set(key, { service, release });
     return true;
   }
 
-  /** Whether a release was found bad. */
-  isBraked({ service, release }: ReleaseKey): boolean {
-    return this.#braked.has(`${service}/${release}`);
+  /** Whether a release is halted. */
+  isHalted({ service, release }: ReleaseKey): boolean {
+    return this.#halted.has(`${service}/${release}`);
   }
 
-  /** Releases that were found bad. */
-  brakedReleases(): Iterable<ReleaseKey> {
-    return this.#braked.values();
+  /** Returns all halted releases. */
+  haltedReleases(): Iterable<ReleaseKey> {
+    return this.#halted.values();
   }
 
-  /** Splits the servers of a service by what their releases may get. */
-  split(
+  /** Returns the servers of a service that may receive traffic, by release. */
+  eligibleServers(
     service: ServiceId,
     { servers, nowMs }: { servers: readonly ServerRecord[]; nowMs: number },
-  ): AllowedReleases {
+  ): EligibleServers {
     const order = this.#orders.get(service);
     if (order === undefined) {
-      return { stable: this.#known(service, { servers, nowMs }), trial: [] };
+      return {
+        stable: this.#unorderedServers(service, { servers, nowMs }),
+        canary: [],
+      };
     }
     const ordered = servers.filter(({ release }) => release === order.release);
-    // Servers of a release that was found bad stay for some seconds, into the next order.
+    // Servers of a halted release remain for some seconds, possibly into the next order.
     const others = servers.filter(({ release }) =>
-      release !== order.release && !this.isBraked({ service, release })
+      release !== order.release && !this.isHalted({ service, release })
     );
     const decided = order.stateRelease === order.release;
     if (decided && order.state === "completed") {
-      return { stable: ordered, trial: [] };
+      return { stable: ordered, canary: [] };
     }
-    const braked = (decided && order.state === "rolled_back") ||
-      this.isBraked(order);
-    return { stable: others, trial: braked ? [] : ordered };
+    const halted = (decided && order.state === "rolled_back") ||
+      this.isHalted(order);
+    return { stable: others, canary: halted ? [] : ordered };
   }
 
-  /** Servers of releases that have been there long enough, or are all there is. */
-  #known(
+  /** Without an order: servers of releases past the hold period, or of the initial release. */
+  #unorderedServers(
     service: ServiceId,
     { servers, nowMs }: { servers: readonly ServerRecord[]; nowMs: number },
   ): readonly ServerRecord[] {
     const releases = new Set(servers.map(({ release }) => release));
-    const first = this.#firstOf(service, { releases, nowMs });
-    if (first.size === releases.size) return servers;
-    return servers.filter(({ release }) => first.has(release));
+    const unheld = this.#unheldReleases(service, { releases, nowMs });
+    if (unheld.size === releases.size) return servers;
+    return servers.filter(({ release }) => unheld.has(release));
   }
 
-  #firstOf(
+  #unheldReleases(
     service: ServiceId,
     { releases, nowMs }: { releases: ReadonlySet<ReleaseId>; nowMs: number },
   ): Set<ReleaseId> {
-    const known = new Set<ReleaseId>();
+    const unheld = new Set<ReleaseId>();
     const unseen = [...releases].filter((release) =>
       !this.#firstSeenMs.has(`${service}/${release}`)
     );
-    // Before anything of the service was seen, its one release is the one to use.
-    const alone = unseen.length === releases.size && releases.size === 1;
+    // The only release of a service at its first appearance is used without a hold period.
+    const isInitial = unseen.length === releases.size && releases.size === 1;
     for (const release of unseen) {
       this.#firstSeenMs.set(`${service}/${release}`, nowMs);
-      if (alone) this.#alone.add(`${service}/${release}`);
+      if (isInitial) this.#initialReleases.add(`${service}/${release}`);
     }
     for (const release of releases) {
       const key = `${service}/${release}`;
       const ageMs = nowMs - (this.#firstSeenMs.get(key) ?? nowMs);
-      if (this.#alone.has(key) || ageMs >= UNORDERED_HOLD_MS) {
-        known.add(release);
+      if (this.#initialReleases.has(key) || ageMs >= UNORDERED_HOLD_MS) {
+        unheld.add(release);
       }
     }
-    return known;
+    return unheld;
   }
 }
 
-/** Whether a roll-out needs nothing more. */
+/** Whether a roll-out is completed or rolled back. */
 function isDecided(order: RollOutOrder): boolean {
   if (order.stateRelease !== order.release) return false;
   return order.state === "completed" || order.state === "rolled_back";
--- a/src/entry/backend_selector.ts
+++ b/src/entry/backend_selector.ts
@@ -7,7 +7,7 @@
   PlainService,
 } from "../core/config/configuration.ts";
 import type { ConfigurationIndex } from "../core/config/configuration_index.ts";
-import { planRequest, type PlanStep } from "../core/cascade/cascade_plan.ts";
+import { type CascadeStep, planCascade } from "../core/cascade/cascade_plan.ts";
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import type { Freshness } from "../core/config/freshness.ts";
 import type { BackendId, Revision, ServiceId } from "../core/ids.ts";
@@ -28,7 +28,7 @@
 /** A model server and the version it is to use. */
 export interface Target {
   readonly server: BackendServer;
-  readonly step: PlanStep;
+  readonly step: CascadeStep;
   readonly version: ModelVersion;
   /** Revision of the configuration by which this was decided. */
   readonly revision: Revision;
@@ -57,15 +57,15 @@
   }
 
   /** Steps for the name that a caller gave, by what its account allows now. */
-  plan(ctx: RequestContext, name: string): Result<PlanStep[], RequestError> {
+  plan(ctx: RequestContext, name: string): Result<CascadeStep[], RequestError> {
     const account = this.#account(ctx);
     if (!account.ok) return account;
-    return planRequest(this.#index(), { account: account.value, name });
+    return planCascade(this.#index(), { account: account.value, name });
   }
 
   /** Server for one step; versions are tried in order of preference. */
   target(
-    step: PlanStep,
+    step: CascadeStep,
     { ctx, tried }: { ctx: RequestContext; tried: ReadonlySet<BackendId> },
   ): Result<Target, RequestError> {
     const index = this.#index();
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -5,8 +5,8 @@
   ModelServers,
   WholeAnswer,
 } from "../backends/model_servers.ts";
-import { isGoodEnough } from "../core/cascade/answer_judge.ts";
-import type { PlanStep } from "../core/cascade/cascade_plan.ts";
+import { isConfidentAnswer } from "../core/cascade/answer_confidence.ts";
+import type { CascadeStep } from "../core/cascade/cascade_plan.ts";
 import type { BackendServer } from "../core/config/configuration.ts";
 import type { EntryRetryBudget } from "../core/limits/entry_retry_budget.ts";
 import { errorAfter, type RequestError } from "../core/request_error.ts";
@@ -220,9 +220,9 @@
   }
 
   /** Later steps are no help to a caller that has gone or has no time left. */
-  #mayEscalate(err: RequestError, step: PlanStep): boolean {
+  #mayEscalate(err: RequestError, step: CascadeStep): boolean {
     if (err.tag === "cancelled" || err.tag === "deadline") return false;
-    if (step.judge !== undefined) this.#countEscalation(step, err.tag);
+    if (step.escalation !== undefined) this.#countEscalation(step, err.tag);
     return true;
   }
 
@@ -235,19 +235,19 @@
     return servedAnswer(dispatched, req);
   }
 
-  #countEscalation(step: PlanStep, reason: string): void {
+  #countEscalation(step: CascadeStep, reason: string): void {
     this.#deps.entryMetrics.escalations.inc({ model: step.model.id, reason });
   }
 }
 
-function isGood(answer: ChatAnswer, step: PlanStep): boolean {
+function isGood(answer: ChatAnswer, step: CascadeStep): boolean {
   const choice = answer.choices[0];
-  if (step.judge === undefined || choice === undefined) return true;
-  return isGoodEnough({
+  if (step.escalation === undefined || choice === undefined) return true;
+  return isConfidentAnswer({
     logprobs: (choice.logprobs?.content ?? []).map(({ logprob }) => logprob),
     textLength: choice.message.content?.length ?? 0,
     finishReason: choice.finish_reason ?? undefined,
-  }, step.judge);
+  }, step.escalation);
 }
 
 /** Takes out log-probabilities that the caller did not ask for. */
@@ -255,7 +255,7 @@
   { target, answer }: Dispatched<WholeAnswer>,
   req: ChatRequest,
 ): ServedAnswer {
-  if (target.step.judge === undefined || req.logprobs === true) {
+  if (target.step.escalation === undefined || req.logprobs === true) {
     return { target, text: answer.text };
   }
   const choices = answer.answer.choices.map((choice) => ({
--- a/src/entry/model_dispatcher.ts
+++ b/src/entry/model_dispatcher.ts
@@ -2,7 +2,7 @@
 
 import type { BackendError } from "../backends/backend_error.ts";
 import type { ModelCall, ModelServers } from "../backends/model_servers.ts";
-import type { PlanStep } from "../core/cascade/cascade_plan.ts";
+import type { CascadeStep } from "../core/cascade/cascade_plan.ts";
 import type { BackendId } from "../core/ids.ts";
 import type { EntryRetryBudget } from "../core/limits/entry_retry_budget.ts";
 import type { RequestError } from "../core/request_error.ts";
@@ -22,7 +22,7 @@
 export interface StepInput {
   readonly ctx: RequestContext;
   readonly req: ChatRequest;
-  readonly step: PlanStep;
+  readonly step: CascadeStep;
   /** Servers that were tried for this step already; grows with each try. */
   readonly tried: Set<BackendId>;
 }
@@ -124,14 +124,14 @@
   }
 }
 
-function noMoreTries(step: PlanStep): RequestError {
+function noMoreTries(step: CascadeStep): RequestError {
   const reason = `${MAX_TRIES} servers of ${step.model.id} failed`;
   return { tag: "backend_failed", reason, ran: "maybe" };
 }
 
 function modelCall(target: Target, { ctx, req }: StepInput): ModelCall {
   const model = `${target.step.model.id}@${target.version.id}`;
-  const judged = target.step.judge !== undefined;
+  const judged = target.step.escalation !== undefined;
   const body = judged ? { ...req, model, logprobs: true } : { ...req, model };
   return {
     server: target.server,
--- a/src/entry/stream_relay.ts
+++ b/src/entry/stream_relay.ts
@@ -2,7 +2,7 @@
 
 import { describeBackendError } from "../backends/backend_error.ts";
 import type { ChatStream, StreamEvent } from "../backends/model_servers.ts";
-import { isGoodEnough } from "../core/cascade/answer_judge.ts";
+import { isConfidentAnswer } from "../core/cascade/answer_confidence.ts";
 import type { RequestError } from "../core/request_error.ts";
 import type { EntryMetrics } from "../metrics/entry_metrics.ts";
 import type { Deadline } from "../runtime/deadline.ts";
@@ -127,7 +127,9 @@
       const content = choice?.delta.content ?? "";
       if (content !== "") this.#tokens += 1;
       this.#textLength += content.length;
-      if (this.#started || this.#deps.target.step.judge === undefined) continue;
+      if (this.#started || this.#deps.target.step.escalation === undefined) {
+        continue;
+      }
       for (const { logprob } of choice?.logprobs?.content ?? []) {
         this.#logprobs.push(logprob);
       }
@@ -135,10 +137,10 @@
   }
 
   #judge(finished: boolean): "good" | "poor" | "unknown" {
-    const rules = this.#deps.target.step.judge;
+    const rules = this.#deps.target.step.escalation;
     if (rules === undefined || this.#takesAny) return "good";
-    if (!finished && this.#tokens < rules.judgeTokens) return "unknown";
-    const good = isGoodEnough({
+    if (!finished && this.#tokens < rules.tokensToJudge) return "unknown";
+    const good = isConfidentAnswer({
       logprobs: this.#logprobs,
       textLength: this.#textLength,
       finishReason: finished ? "stop" : undefined,
--- a/src/fleet/crash_news.ts
+++ b/src/fleet/crash_news.ts
@@ -1,7 +1,7 @@
 /** What VMs tell each other of requests under which servers have ended. */
 
 import type { Crash } from "../core/crashes/crash.ts";
-import type { CrashBook } from "../core/crashes/crash_book.ts";
+import type { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { EntryId, RequestKey } from "../core/ids.ts";
 import type { VmDigest } from "../protocol/digest_schema.ts";
 import { toldAgeMs } from "../protocol/store_schema.ts";
@@ -22,7 +22,7 @@
 export type ToldCrashes = VmDigest["crashes"];
 
 interface Deps {
-  readonly crashBook: CrashBook;
+  readonly crashHistory: CrashHistory;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -69,10 +69,10 @@
   /** Takes in what another VM has told. */
   hear({ ends, goodEnds }: ToldCrashes, from: EntryId): void {
     if (ends.length + goodEnds.length === 0) return;
-    const { crashBook, clock } = this.#deps;
+    const { crashHistory, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     for (const { request, ageMs } of goodEnds) {
-      crashBook.noteGoodEnd({ request, atMs: nowMs - ageMs }, nowMs);
+      crashHistory.recordSuccess({ request, atMs: nowMs - ageMs }, nowMs);
     }
     const crashes = ends.map(({ beganAgeMs, endedAgeMs, ...crash }) => ({
       ...crash,
@@ -101,14 +101,14 @@
 
   /** Forgets what is old. */
   expire(): void {
-    this.#deps.crashBook.expire(this.#deps.clock.monotonicMs());
+    this.#deps.crashHistory.removeExpired(this.#deps.clock.monotonicMs());
   }
 
   #since(sinceMs: number): ToldCrashes {
-    const { crashBook, clock } = this.#deps;
-    if (crashBook.isEmpty) return { ends: [], goodEnds: [] };
+    const { crashHistory, clock } = this.#deps;
+    if (crashHistory.isEmpty) return { ends: [], goodEnds: [] };
     const nowMs = clock.monotonicMs();
-    const ends = crashBook.crashesSince(sinceMs)
+    const ends = crashHistory.crashesSince(sinceMs)
       .sort((a, b) => b.endedMs - a.endedMs)
       .slice(0, MOST_TOLD)
       .map(({ beganMs, endedMs, ...crash }) => ({
@@ -116,7 +116,7 @@
         beganAgeMs: toldAgeMs(nowMs - beganMs),
         endedAgeMs: toldAgeMs(nowMs - endedMs),
       }));
-    const goodEnds = crashBook.goodEndsSince(sinceMs)
+    const goodEnds = crashHistory.successesSince(sinceMs)
       .slice(0, MOST_TOLD)
       .map(({ request, atMs }) => ({
         request,
@@ -126,20 +126,22 @@
   }
 
   #take(crashes: readonly Crash[], from: Source): void {
-    const { crashBook, clock } = this.#deps;
+    const { crashHistory, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
-    const before = crashBook.poison;
-    const news = crashes.filter((crash) => crashBook.note(crash, nowMs));
+    const before = crashHistory.crashingRequests;
+    const news = crashes.filter((crash) =>
+      crashHistory.recordCrash(crash, nowMs)
+    );
     if (news.length === 0) return;
     this.#logVerdicts(before, from);
     const urgent = news.some(({ request }) =>
-      crashBook.crashesOf(request).length >= URGENT_CRASHES
+      crashHistory.crashesOf(request).length >= URGENT_CRASHES
     );
     if (urgent) this.#onUrgent(from === "own" || from === "store");
   }
 
   #logVerdicts(before: ReadonlySet<RequestKey>, from: Source): void {
-    const { poison } = this.#deps.crashBook;
+    const { crashingRequests: poison } = this.#deps.crashHistory;
     for (const request of poison) {
       if (!before.has(request)) this.#logVerdict(request, from);
     }
@@ -153,9 +155,9 @@
   }
 
   #logVerdict(request: RequestKey, from: Source): void {
-    const { crashBook, clock, logger } = this.#deps;
+    const { crashHistory, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
-    const crashes = crashBook.crashesOf(request);
+    const crashes = crashHistory.crashesOf(request);
     logger.warn("Request is taken to crash servers", {
       request,
       account: crashes[0]?.account,
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -3,13 +3,16 @@
 import type { EntryId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
-import type { EvidenceBook } from "../core/rollout/evidence.ts";
+import type { EvidenceAggregator } from "../core/rollout/evidence.ts";
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
 import type {
-  SessionBook,
   SessionFilter,
-} from "../core/rollout/session_book.ts";
-import { sessionPoint, TOLD_SHARE } from "../core/rollout/session_point.ts";
+  SessionTracker,
+} from "../core/rollout/session_tracker.ts";
+import {
+  ADVERTISED_SESSION_SHARE,
+  sessionHash,
+} from "../core/rollout/session_hash.ts";
 import type { PromptHolders } from "../core/routing/prompt_holders.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import {
@@ -53,8 +56,8 @@
   readonly promptHolders: PromptHolders;
   readonly crashNews: CrashNews;
   readonly limitNews: LimitNews;
-  readonly evidenceBook: EvidenceBook;
-  readonly sessionBook: SessionBook;
+  readonly evidenceAggregator: EvidenceAggregator;
+  readonly sessionTracker: SessionTracker;
   readonly releaseGate: ReleaseGate;
   readonly routingFollower: RoutingFollower;
   readonly serverFollower: Pick<ServerFollower, "leaves" | "leavingLives">;
@@ -135,13 +138,13 @@
 
   /** Forgets what has grown old. */
   expire(): void {
-    const { clock, evidenceBook, promptHolders, relayRole, crashNews } =
+    const { clock, evidenceAggregator, promptHolders, relayRole, crashNews } =
       this.#deps;
     crashNews.expire();
     promptHolders.setShared(relayRole.meshed);
     for (const { self, relay } of this.#told.expire(clock.monotonicMs())) {
       // Who has gone to another relay is counted there, and must not be counted twice.
-      if (!relay) evidenceBook.forgetVm(self.id);
+      if (!relay) evidenceAggregator.removeVm(self.id);
     }
     this.#addUp();
   }
@@ -161,14 +164,14 @@
       crashes: this.#deps.crashNews.news(),
       limits: this.#deps.limitNews.news(),
       leaving: this.#deps.serverFollower.leavingLives().slice(-MOST_LEAVING),
-      braked: [...releaseGate.brakedReleases()],
+      braked: [...releaseGate.haltedReleases()],
       ...told,
     };
   }
 
   /** What this VM has seen itself, and what the VMs tell that follow it. */
   #ofGroup(): Told {
-    const { serverLoads, evidenceBook, promptHolders, clock, relayRole } =
+    const { serverLoads, evidenceAggregator, promptHolders, clock, relayRole } =
       this.#deps;
     const followers = relayRole.held
       ? this.#told.followers()
@@ -181,7 +184,7 @@
       scope: followers.size > 0 ? "group" : "own",
       servers: [...sumReports(reports).values()].map(rounded),
       evidence: this.#openServices().flatMap((service) =>
-        evidenceBook.group(service, followers)
+        evidenceAggregator.groupEvidence(service, followers)
       ),
       sessions: this.#sessions(({ here }) => here),
       // Where VMs follow relays, too many would be told to too many.
@@ -193,7 +196,7 @@
 
   /** What all VMs have seen but one that asks. */
   #ofFleetBut(vm: EntryId, { isNew }: { isNew: boolean }): Told {
-    const { serverLoads, evidenceBook, clock } = this.#deps;
+    const { serverLoads, evidenceAggregator, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     const reports = [
       ...serverLoads.ownReports(nowMs),
@@ -204,20 +207,20 @@
       scope: "fleet",
       servers: [...sumReports(reports).values()].map(rounded),
       evidence: this.#openServices().flatMap((service) =>
-        evidenceBook.allBut(vm, service)
+        evidenceAggregator.allExcept(vm, service)
       ),
-      sessions: this.#sessions(({ learntMs }) => learntMs >= sinceMs),
+      sessions: this.#sessions(({ learnedAtMs }) => learnedAtMs >= sinceMs),
       holders: [],
     };
   }
 
   #openServices() {
-    return this.#deps.releaseGate.openOrders().map(({ service }) => service);
+    return this.#deps.releaseGate.activeOrders().map(({ service }) => service);
   }
 
   /** Takes in what another VM tells. */
   #hear(told: VmDigest): void {
-    const { memberTable, evidenceBook, promptHolders, relayRole, clock } =
+    const { memberTable, evidenceAggregator, promptHolders, relayRole, clock } =
       this.#deps;
     const nowMs = clock.monotonicMs();
     promptHolders.told(told.holders, nowMs);
@@ -230,28 +233,29 @@
     relayRole.heardStore(told.self.id, { lost: told.storeLost });
     // Who follows a relay hears of all VMs by it, and must not count them twice.
     if (!relayRole.held && told.scope !== "fleet") return;
-    evidenceBook.hear(told.self.id, told);
+    evidenceAggregator.receive(told.self.id, told);
     this.#told.note(told, nowMs);
     // What a relay told of the whole fleet needs no adding up; a relay adds up in rounds.
     if (told.scope === "fleet") this.#addUp();
   }
 
   #noteSessions({ sessions, relay }: VmDigest, nowMs: number): void {
-    const { sessionBook, relayRole } = this.#deps;
+    const { sessionTracker, relayRole } = this.#deps;
     const here = relayRole.held && !relay;
     for (const { session, release, ageMs } of sessions) {
-      const times = { seenMs: nowMs - ageMs, learntMs: nowMs };
-      sessionBook.note({ session, release, ...times, here });
+      const times = { seenMs: nowMs - ageMs, learnedAtMs: nowMs };
+      sessionTracker.record({ session, release, ...times, here });
     }
   }
 
-  #sessions(wanted: SessionFilter["wanted"]): VmDigest["sessions"] {
-    const { sessionBook, unitHash, clock } = this.#deps;
+  #sessions(wanted: SessionFilter["matches"]): VmDigest["sessions"] {
+    const { sessionTracker, unitHash, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
-    return sessionBook.recent(nowMs, {
-      wanted: (seen) =>
-        wanted(seen) && sessionPoint(seen.session, unitHash) < TOLD_SHARE,
-      most: MOST_SESSIONS,
+    return sessionTracker.recent(nowMs, {
+      matches: (seen) =>
+        wanted(seen) &&
+        sessionHash(seen.session, unitHash) < ADVERTISED_SESSION_SHARE,
+      limit: MOST_SESSIONS,
     }).map(({ session, release, seenMs }) => ({
       session,
       release,
@@ -260,7 +264,7 @@
   }
 
   #brake(key: VmDigest["braked"][number], by: EntryId): void {
-    if (!this.#deps.releaseGate.brake(key)) return;
+    if (!this.#deps.releaseGate.halt(key)) return;
     this.#deps.logger.warn("Release is braked", { ...key, told_by: by });
   }
 
--- a/src/fleet/digest_keeper_test.ts
+++ b/src/fleet/digest_keeper_test.ts
@@ -11,12 +11,15 @@
   ServiceId,
 } from "../core/ids.ts";
 import type { Crash } from "../core/crashes/crash.ts";
-import { CrashBook } from "../core/crashes/crash_book.ts";
+import { CrashHistory } from "../core/crashes/crash_history.ts";
 import { MemberTable } from "../core/membership/member_table.ts";
-import { EvidenceBook } from "../core/rollout/evidence.ts";
+import { EvidenceAggregator } from "../core/rollout/evidence.ts";
 import { ReleaseGate } from "../core/rollout/release_gate.ts";
-import { SessionBook } from "../core/rollout/session_book.ts";
-import { sessionPoint, TOLD_SHARE } from "../core/rollout/session_point.ts";
+import { SessionTracker } from "../core/rollout/session_tracker.ts";
+import {
+  ADVERTISED_SESSION_SHARE,
+  sessionHash,
+} from "../core/rollout/session_hash.ts";
 import { PromptHolders } from "../core/routing/prompt_holders.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { ServerLimits } from "../core/servers/server_limits.ts";
@@ -46,9 +49,9 @@
   readonly directory = new ServerDirectory();
   readonly limits = new ServerLimits();
   readonly holders = new PromptHolders();
-  readonly crashes = new CrashBook();
-  readonly evidence = new EvidenceBook();
-  readonly sessions = new SessionBook(GAP_MS);
+  readonly crashes = new CrashHistory();
+  readonly evidence = new EvidenceAggregator();
+  readonly sessions = new SessionTracker(GAP_MS);
   readonly #keeper: DigestKeeper;
 
   constructor(id: string, { relay }: { relay: boolean }) {
@@ -65,7 +68,7 @@
       serverLoads: this.loads,
       promptHolders: this.holders,
       crashNews: new CrashNews({
-        crashBook: this.crashes,
+        crashHistory: this.crashes,
         clock: { wallMs: () => nowMs, monotonicMs: () => nowMs },
         logger: new SilentLogger(),
       }),
@@ -78,8 +81,8 @@
         leaves: (life) => void this.directory.leaves(life),
         leavingLives: () => this.directory.leavingLives(),
       },
-      evidenceBook: this.evidence,
-      sessionBook: this.sessions,
+      evidenceAggregator: this.evidence,
+      sessionTracker: this.sessions,
       releaseGate,
       routingFollower: {
         confirmation: { version: 1, ageMs: 0 },
@@ -117,8 +120,8 @@
 
   /** Serves a session by the release on trial. */
   note(session: PromptPartId): void {
-    const times = { seenMs: nowMs, learntMs: nowMs };
-    this.sessions.note({ session, release: NEW, ...times, here: true });
+    const times = { seenMs: nowMs, learnedAtMs: nowMs };
+    this.sessions.record({ session, release: NEW, ...times, here: true });
   }
 
   /** Counts a failed answer of the release on trial. */
@@ -143,7 +146,9 @@
 function toldSession(): PromptPartId {
   for (let n = 0;; n++) {
     const session = `part-${n}` as PromptPartId;
-    if (sessionPoint(session, unitHash) < TOLD_SHARE) return session;
+    if (sessionHash(session, unitHash) < ADVERTISED_SESSION_SHARE) {
+      return session;
+    }
   }
 }
 
@@ -256,7 +261,7 @@
   }
 
   function endThree(vm: Vm | undefined): void {
-    for (const n of [1, 2, 3]) vm?.crashes.note(crash(n), nowMs);
+    for (const n of [1, 2, 3]) vm?.crashes.recordCrash(crash(n), nowMs);
   }
 
   it("should tell all VMs, over relays", () => {
@@ -264,7 +269,7 @@
     for (let n = 0; n < 2; n++) round();
     const all = [...relays, ...followers];
     assert.deepEqual(
-      all.map(({ crashes }) => crashes.poison.has(request)),
+      all.map(({ crashes }) => crashes.crashingRequests.has(request)),
       all.map(() => true),
     );
   });
@@ -275,7 +280,7 @@
     nowMs += 60_000;
     const started = new Vm("vm-9", { relay: false });
     started.ask(relays[0] as Vm);
-    assert.ok(started.crashes.poison.has(request));
+    assert.ok(started.crashes.crashingRequests.has(request));
   });
 
   it("should tell a VM that was frozen while others heard of it", () => {
@@ -287,14 +292,14 @@
       round();
     }
     frozen?.ask(relays[0] as Vm);
-    assert.ok(frozen?.crashes.poison.has(request));
+    assert.ok(frozen?.crashes.crashingRequests.has(request));
   });
 
   it("should tell that a request has ended well", () => {
-    followers[0]?.crashes.note(crash(1), nowMs);
+    followers[0]?.crashes.recordCrash(crash(1), nowMs);
     round();
     nowMs += 500;
-    followers[1]?.crashes.noteGoodEnd({ request, atMs: nowMs }, nowMs);
+    followers[1]?.crashes.recordSuccess({ request, atMs: nowMs }, nowMs);
     for (let n = 0; n < 2; n++) round();
     assert.equal(followers[0]?.crashes.crashesOf(request).length, 0);
   });
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -1,7 +1,7 @@
 /** HTTP servers for the platform's readiness checks, callers' address lookups and metrics. */
 
 import fastify, { type FastifyInstance } from "fastify";
-import type { CrashBook } from "../core/crashes/crash_book.ts";
+import type { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { ColdServers } from "../core/servers/cold_servers.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
@@ -39,7 +39,7 @@
   readonly coldServers: ColdServers;
   readonly serverRests: ServerRests;
   readonly serverLimits: ServerLimits;
-  readonly crashBook: CrashBook;
+  readonly crashHistory: CrashHistory;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -119,7 +119,7 @@
     const { gatewayMetrics, routingFollower, memberTable } = this.#deps;
     const { serverDirectory, coldServers, serverRests, serverLimits } =
       this.#deps;
-    const { crashBook, clock } = this.#deps;
+    const { crashHistory, clock } = this.#deps;
     const { version, ageMs } = routingFollower.confirmation;
     gatewayMetrics.configurationVersion.set(version);
     gatewayMetrics.confirmationAge.set(ageMs / MS_PER_SECOND);
@@ -132,8 +132,8 @@
       serverLimits.count(clock.monotonicMs()),
     );
     gatewayMetrics.leavingServers.set(serverDirectory.leavingLives().length);
-    gatewayMetrics.suspectedRequests.set(crashBook.size);
-    gatewayMetrics.poisonRequests.set(crashBook.poison.size);
+    gatewayMetrics.suspectedRequests.set(crashHistory.size);
+    gatewayMetrics.poisonRequests.set(crashHistory.crashingRequests.size);
     gatewayMetrics.members.set(memberTable.others().length);
   }
 
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -1,8 +1,11 @@
 /** Finds out which requests were beginning to run where servers ended, and keeps them back. */
 
 import type { ServerEndCheck } from "../backends/server_end_check.ts";
-import { type Crash, mayHaveCrashed } from "../core/crashes/crash.ts";
-import type { CrashBook, Standing } from "../core/crashes/crash_book.ts";
+import { type Crash, mayHaveCausedCrash } from "../core/crashes/crash.ts";
+import type {
+  CrashHistory,
+  QuarantineStatus,
+} from "../core/crashes/crash_history.ts";
 import type { AccountId, ServerLife, ServiceId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
@@ -16,7 +19,7 @@
 interface Deps {
   readonly serverEndCheck: ServerEndCheck;
   readonly serverDirectory: ServerDirectory;
-  readonly crashBook: CrashBook;
+  readonly crashHistory: CrashHistory;
   readonly crashNews: CrashNews;
   readonly gatewayMetrics: GatewayMetrics;
   readonly clock: Clock;
@@ -41,7 +44,7 @@
   readonly after: readonly ServerLife[];
 }
 
-const FREE: Standing = { tag: "free" };
+const FREE: QuarantineStatus = { tag: "free" };
 
 /** Watches over the requests of this VM. */
 export class CrashWatch {
@@ -52,27 +55,27 @@
   }
 
   /** How a request stands. Its key is worked out only where some request is suspected. */
-  standing({ identity }: WatchedRequest): Standing {
-    const { crashBook, clock } = this.#deps;
-    if (crashBook.isEmpty) return FREE;
-    return crashBook.standing(identity.key, clock.monotonicMs());
+  standing({ identity }: WatchedRequest): QuarantineStatus {
+    const { crashHistory, clock } = this.#deps;
+    if (crashHistory.isEmpty) return FREE;
+    return crashHistory.quarantineStatus(identity.key, clock.monotonicMs());
   }
 
   /** Servers that are known to have ended under a request. */
   endedUnder({ identity }: WatchedRequest): readonly ServerLife[] {
-    const { crashBook } = this.#deps;
-    if (crashBook.isEmpty) return [];
-    return crashBook.crashesOf(identity.key).map(({ life }) => life);
+    const { crashHistory } = this.#deps;
+    if (crashHistory.isEmpty) return [];
+    return crashHistory.crashesOf(identity.key).map(({ life }) => life);
   }
 
   /** Notes that a request has run to a good end, whatever it was suspected of. */
   endedWell({ identity, attempt }: WatchedRequest): void {
-    const { crashBook, clock, logger } = this.#deps;
-    if (crashBook.isEmpty) return;
+    const { crashHistory, clock, logger } = this.#deps;
+    if (crashHistory.isEmpty) return;
     const nowMs = clock.monotonicMs();
     const request = identity.key;
-    const crashes = crashBook.crashesOf(request).length;
-    if (!crashBook.noteGoodEnd({ request, atMs: nowMs }, nowMs)) return;
+    const crashes = crashHistory.crashesOf(request).length;
+    if (!crashHistory.recordSuccess({ request, atMs: nowMs }, nowMs)) return;
     logger.info("Request is cleared by a good end", {
       request,
       attempt,
@@ -88,7 +91,7 @@
     const { serverEndCheck, clock, gatewayMetrics } = this.#deps;
     const { server, record } = broken;
     const endedMs = clock.monotonicMs();
-    const suspected = mayHaveCrashed({
+    const suspected = mayHaveCausedCrash({
       streaming: watched.streaming,
       firstByteMs: record.firstByteMs,
       endedMs: endedMs - record.startedMs,
@@ -137,7 +140,7 @@
       begun: record.firstByteMs !== undefined,
       ran_ms: Math.round(endedMs - beganMs),
       suspected,
-      ended_before: this.#deps.crashBook.crashesOf(request).length,
+      ended_before: this.#deps.crashHistory.crashesOf(request).length,
     });
   }
 }
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -11,17 +11,17 @@
 import { BackendConnections } from "../backends/backend_connections.ts";
 import { ServerEndCheck } from "../backends/server_end_check.ts";
 import { ServerProbe } from "../backends/server_probe.ts";
-import { CrashBook } from "../core/crashes/crash_book.ts";
-import { ModelPace } from "../core/cascade/model_pace.ts";
+import { CrashHistory } from "../core/crashes/crash_history.ts";
+import { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import { NO_REVISION } from "../core/ids.ts";
 import { RetryBudget } from "../core/limits/retry_budget.ts";
 import { FleetSize } from "../core/membership/fleet_size.ts";
 import { MemberTable } from "../core/membership/member_table.ts";
-import { EvidenceBook } from "../core/rollout/evidence.ts";
-import { ReleaseChoice } from "../core/rollout/release_choice.ts";
+import { EvidenceAggregator } from "../core/rollout/evidence.ts";
+import { ReleaseSelector } from "../core/rollout/release_selector.ts";
 import { ReleaseGate } from "../core/rollout/release_gate.ts";
-import { TrialJudge } from "../core/rollout/trial_judge.ts";
-import { SessionBook } from "../core/rollout/session_book.ts";
+import { CanaryAnalyzer } from "../core/rollout/canary_analyzer.ts";
+import { SessionTracker } from "../core/rollout/session_tracker.ts";
 import { ProbeOrder } from "../core/membership/probe_order.ts";
 import { ColdAdmission } from "../core/routing/cold_admission.ts";
 import { LimitAdmission } from "../core/routing/limit_admission.ts";
@@ -193,18 +193,18 @@
     serverRests: asFunction(() => new ServerRests()).singleton(),
     serverLimits: asFunction(() => new ServerLimits()).singleton(),
     releaseGate: singleton(ReleaseGate),
-    modelPace: singleton(ModelPace),
+    modelLatencyEstimator: singleton(ModelLatencyEstimator),
     silenceWatch: singleton(SilenceWatch),
     readPace: singleton(ReadPace),
     workPredictor: singleton(WorkPredictor),
-    releaseChoice: singleton(ReleaseChoice),
-    evidenceBook: singleton(EvidenceBook),
-    trialJudge: singleton(TrialJudge),
-    sessionBook: asValue(
-      new SessionBook(bounds.sessionGapMs + SESSION_GOSSIP_DELAY_MS),
+    releaseSelector: singleton(ReleaseSelector),
+    evidenceAggregator: singleton(EvidenceAggregator),
+    canaryAnalyzer: singleton(CanaryAnalyzer),
+    sessionTracker: asValue(
+      new SessionTracker(bounds.sessionGapMs + SESSION_GOSSIP_DELAY_MS),
     ),
     probeOrder: asFunction(({ chance }) => new ProbeOrder(chance)).singleton(),
-    crashBook: asFunction(() => new CrashBook()).singleton(),
+    crashHistory: asFunction(() => new CrashHistory()).singleton(),
     coldServers: asFunction(() => new ColdServers()).singleton(),
     coldAdmission: singleton(ColdAdmission),
     unackedAttempts: asFunction(() => new UnackedAttempts()).singleton(),
--- a/src/gateway/model_choice.ts
+++ b/src/gateway/model_choice.ts
@@ -1,7 +1,10 @@
 /** Which model a request is asked of, where the choice is ours. */
 
-import { escalateTo, firstModel } from "../core/cascade/model_ladder.ts";
-import type { ModelPace } from "../core/cascade/model_pace.ts";
+import {
+  escalationTarget,
+  initialModel,
+} from "../core/cascade/model_escalation.ts";
+import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { ModelId } from "../core/ids.ts";
 import { mayRunAgain, type Route } from "../core/routes/route.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
@@ -23,18 +26,18 @@
 
 /** Begins with one model and moves on to a larger one. */
 export class ModelChoice {
-  readonly #modelPace: ModelPace;
+  readonly #modelPace: ModelLatencyEstimator;
   readonly #head: CallerHead;
   #model: ModelId | undefined;
   #larger: ModelId | undefined;
 
   constructor(
-    modelPace: ModelPace,
+    modelLatencyEstimator: ModelLatencyEstimator,
     { head, route }: { head: CallerHead; route: Route },
   ) {
-    this.#modelPace = modelPace;
+    this.#modelPace = modelLatencyEstimator;
     this.#head = head;
-    if (head.choosesModel) this.#model = firstModel(route);
+    if (head.choosesModel) this.#model = initialModel(route);
   }
 
   /** Model to ask; undefined where the caller has named one or none is needed. */
@@ -48,7 +51,7 @@
     const largest = route.models.at(-1);
     if (this.#model === undefined || largest === undefined) return false;
     if (!mayRunAgain(route)) return false;
-    this.#larger = escalateTo({
+    this.#larger = escalationTarget({
       models: route.models,
       model: this.#model,
       confidence,
@@ -56,7 +59,7 @@
       targetMs: route.targetMs ?? limitMs,
       limitMs,
       largest: this.#predict(largest, route),
-      startMs: judged.startMsOf(largest),
+      largestStartMs: judged.startMsOf(largest),
       runsLeft,
     });
     return this.#larger !== undefined;
--- a/src/gateway/request_crashes.ts
+++ b/src/gateway/request_crashes.ts
@@ -1,7 +1,7 @@
 /** What one request has to do with servers that end. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
-import type { Standing } from "../core/crashes/crash_book.ts";
+import type { QuarantineStatus } from "../core/crashes/crash_history.ts";
 import type { ServerLife } from "../core/ids.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
 import { pause } from "../runtime/pause.ts";
@@ -32,7 +32,7 @@
   }
 
   /** Waits until verdicts have settled, or `isOver`; returns how the request stands before a try. */
-  async settled(isOver: () => boolean): Promise<Standing> {
+  async settled(isOver: () => boolean): Promise<QuarantineStatus> {
     let standing = this.#watch.standing(this.#watched);
     while (standing.tag === "settling" && !isOver()) {
       await pause(SETTLE_PAUSE_MS);
--- a/src/gateway/request_crashes_test.ts
+++ b/src/gateway/request_crashes_test.ts
@@ -8,7 +8,7 @@
 import { beforeEach, describe, it } from "node:test";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerEndCheck } from "../backends/server_end_check.ts";
-import { CrashBook } from "../core/crashes/crash_book.ts";
+import { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { ServiceId } from "../core/ids.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { CrashNews } from "../fleet/crash_news.ts";
@@ -24,7 +24,7 @@
 const SETTLED_MS = 1_000;
 
 let nowMs: number;
-let book: CrashBook;
+let book: CrashHistory;
 let crashes: RequestCrashes;
 /** Tell that the servers of the tries so far have ended. */
 let tellEnded: (() => void)[];
@@ -39,7 +39,7 @@
 
 beforeEach(() => {
   nowMs = 10_000;
-  book = new CrashBook();
+  book = new CrashHistory();
   tellEnded = [];
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
   const logger = new SilentLogger();
@@ -48,8 +48,8 @@
   const watch = new CrashWatch({
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
-    crashBook: book,
-    crashNews: new CrashNews({ crashBook: book, clock, logger }),
+    crashHistory: book,
+    crashNews: new CrashNews({ crashHistory: book, clock, logger }),
     gatewayMetrics: new GatewayMetrics(),
     clock,
     logger,
@@ -83,7 +83,7 @@
     for (const n of [1, 2, 3]) await crash(n);
     for (const tell of tellEnded) tell();
     await new Promise(setImmediate);
-    const standing = book.standing(identity.key, nowMs + SETTLED_MS);
+    const standing = book.quarantineStatus(identity.key, nowMs + SETTLED_MS);
     assert.equal(standing.tag, "quarantined");
   });
 });
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -6,7 +6,7 @@
   HeadVerdict,
   TryOutcome,
 } from "../backends/backend_try.ts";
-import type { ModelPace } from "../core/cascade/model_pace.ts";
+import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { ServiceId } from "../core/ids.ts";
 import type { RetryBudget } from "../core/limits/retry_budget.ts";
 import type { Refusal } from "../core/refusal.ts";
@@ -40,7 +40,7 @@
 export interface RequestRunDeps extends TrySenderDeps {
   readonly serverFollower: ServerFollower;
   readonly retryBudget: RetryBudget;
-  readonly modelPace: ModelPace;
+  readonly modelLatencyEstimator: ModelLatencyEstimator;
   readonly crashWatch: CrashWatch;
   readonly requestLog: RequestLog;
   readonly chance: () => number;
@@ -100,7 +100,7 @@
       head.waitMs ?? DEFAULT_WAIT_MS,
       route.timeLimitMs ?? Infinity,
     );
-    this.#models = new ModelChoice(deps.modelPace, { head, route });
+    this.#models = new ModelChoice(deps.modelLatencyEstimator, { head, route });
     this.#end = new RequestEnd(deps, {
       exchange,
       tally: this.#tally,
--- a/src/gateway/server_selector.ts
+++ b/src/gateway/server_selector.ts
@@ -7,9 +7,9 @@
   PromptPartId,
   ServiceId,
 } from "../core/ids.ts";
-import type { ReleaseChoice } from "../core/rollout/release_choice.ts";
+import type { ReleaseSelector } from "../core/rollout/release_selector.ts";
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
-import type { SessionBook } from "../core/rollout/session_book.ts";
+import type { SessionTracker } from "../core/rollout/session_tracker.ts";
 import type { Route } from "../core/routes/route.ts";
 import type {
   PromptHolders,
@@ -31,12 +31,12 @@
   readonly serverDirectory: ServerDirectory;
   readonly serverGate: ServerGate;
   readonly releaseGate: ReleaseGate;
-  readonly releaseChoice: ReleaseChoice;
+  readonly releaseSelector: ReleaseSelector;
   readonly rollOutFollower: RollOutFollower;
   readonly evacuationFollower: EvacuationFollower;
   readonly affinityChoice: AffinityChoice;
   readonly promptHolders: PromptHolders;
-  readonly sessionBook: SessionBook;
+  readonly sessionTracker: SessionTracker;
   readonly attemptAcks: Pick<AttemptAcks, "isUnresponsive">;
   readonly clock: Clock;
   readonly chance: () => number;
@@ -145,11 +145,11 @@
     { head }: SelectionCriteria,
     candidates: readonly ServerRecord[],
   ): boolean {
-    const { sessionBook, clock } = this.#deps;
+    const { sessionTracker, clock } = this.#deps;
     const session = sessionOf(head);
     const release = candidates[0]?.release;
     if (session === undefined || release === undefined) return false;
-    return sessionBook.releaseOf(session, clock.monotonicMs()) === release;
+    return sessionTracker.releaseOf(session, clock.monotonicMs()) === release;
   }
 
   #chooseAmong(
@@ -178,14 +178,17 @@
     if (!rollOutFollower.ready || !evacuationFollower.ready) return [];
     const nowMs = this.#deps.clock.monotonicMs();
     const servers = serverDirectory.usable(service);
-    const { stable, trial } = releaseGate.split(service, { servers, nowMs });
-    return this.#deps.releaseChoice.choose({
+    const { stable, canary: trial } = releaseGate.eligibleServers(service, {
+      servers,
+      nowMs,
+    });
+    return this.#deps.releaseSelector.selectServers({
       service,
-      allowed: {
+      eligible: {
         stable: serverGate.bearing(service, stable),
-        trial: this.#trialCandidates(service, trial),
+        canary: this.#trialCandidates(service, trial),
       },
-      share: releaseGate.trialShare(service),
+      share: releaseGate.canaryShare(service),
       session: sessionOf(head),
       requestKey: head.attempt ?? "",
       nowMs,
--- a/src/gateway/server_selector_test.ts
+++ b/src/gateway/server_selector_test.ts
@@ -2,9 +2,9 @@
 import { beforeEach, describe, it } from "node:test";
 import { testMember } from "../../tests/fixtures/test_member.ts";
 import type { InstanceId, PromptPartId, ReleaseId } from "../core/ids.ts";
-import { ReleaseChoice } from "../core/rollout/release_choice.ts";
+import { ReleaseSelector } from "../core/rollout/release_selector.ts";
 import { ReleaseGate } from "../core/rollout/release_gate.ts";
-import { SessionBook } from "../core/rollout/session_book.ts";
+import { SessionTracker } from "../core/rollout/session_tracker.ts";
 import { AffinityChoice } from "../core/routing/affinity_choice.ts";
 import { LimitAdmission } from "../core/routing/limit_admission.ts";
 import { PromptHolders } from "../core/routing/prompt_holders.ts";
@@ -64,7 +64,7 @@
   let serverRests: ServerRests;
   let serverLimits: ServerLimits;
   let limitAdmission: LimitAdmission;
-  let sessionBook: SessionBook;
+  let sessionTracker: SessionTracker;
   let serverLoads: ServerLoads;
   let serverGate: ServerGate;
   let selector: ServerSelector;
@@ -73,7 +73,7 @@
     nowMs = 10_000;
     serverDirectory = new ServerDirectory();
     serverRests = new ServerRests();
-    sessionBook = new SessionBook(60_000);
+    sessionTracker = new SessionTracker(60_000);
     serverLoads = new ServerLoads();
     const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
     const chance = () => 0;
@@ -106,7 +106,7 @@
       serverDirectory,
       serverGate,
       releaseGate: trialGate(),
-      releaseChoice: new ReleaseChoice({ sessionBook, unitHash }),
+      releaseSelector: new ReleaseSelector({ sessionTracker, unitHash }),
       rollOutFollower: { ready: true } as never,
       evacuationFollower: { ready: true } as never,
       affinityChoice: new AffinityChoice({
@@ -116,7 +116,7 @@
         chance,
       }),
       promptHolders,
-      sessionBook,
+      sessionTracker,
       attemptAcks: { isUnresponsive: () => false },
       clock,
       chance,
@@ -131,7 +131,7 @@
     const { release } = TRIAL;
     const undecided = { state: undefined, stateRelease: undefined };
     gate.setOrder({ service, release, limitMs: 60_000, ...undecided });
-    gate.setTrial({ service, release, share: 1, stepMs: 0 } as never);
+    gate.setCanary({ service, release, share: 1, stepMs: 0 } as never);
     return gate;
   }
 
@@ -142,8 +142,8 @@
   }
 
   function recordSession(release: ReleaseId): void {
-    const times = { seenMs: nowMs, learntMs: nowMs };
-    sessionBook.note({ session: SESSION, release, ...times, here: true });
+    const times = { seenMs: nowMs, learnedAtMs: nowMs };
+    sessionTracker.record({ session: SESSION, release, ...times, here: true });
   }
 
   function backOff(server: typeof STABLE): void {
--- a/src/gateway/trial_controller.ts
+++ b/src/gateway/trial_controller.ts
@@ -4,16 +4,19 @@
   RollOutOrder,
   RollOutState,
 } from "../core/servers/roll_out_order.ts";
-import type { EvidenceBook } from "../core/rollout/evidence.ts";
+import type { EvidenceAggregator } from "../core/rollout/evidence.ts";
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
 import {
-  type PlanStep,
-  planStep,
-  timeOfShare,
-} from "../core/rollout/trial_plan.ts";
-import { turnOf } from "../core/rollout/turn.ts";
-import type { Judgement, TrialJudge } from "../core/rollout/trial_judge.ts";
-import type { Verdict } from "../core/rollout/trial_verdict.ts";
+  type CanaryStep,
+  nextCanaryStep,
+  plannedTimeOfShare,
+} from "../core/rollout/canary_plan.ts";
+import { takeoverRank } from "../core/rollout/takeover_rank.ts";
+import type {
+  CanaryAnalysis,
+  CanaryAnalyzer,
+} from "../core/rollout/canary_analyzer.ts";
+import type { CanaryEvaluation } from "../core/rollout/canary_evaluation.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
@@ -41,8 +44,8 @@
 
 interface Deps {
   readonly releaseGate: ReleaseGate;
-  readonly evidenceBook: EvidenceBook;
-  readonly trialJudge: TrialJudge;
+  readonly evidenceAggregator: EvidenceAggregator;
+  readonly canaryAnalyzer: CanaryAnalyzer;
   readonly memberTable: MemberTable;
   readonly relayRole: FleetRelayRole;
   readonly serverDirectory: ServerDirectory;
@@ -93,10 +96,10 @@
   }
 
   async #evaluate(): Promise<void> {
-    for (const order of this.#deps.releaseGate.openOrders()) {
+    for (const order of this.#deps.releaseGate.activeOrders()) {
       const progress = this.#progressOf(order);
       const judgement = this.#judge(order);
-      for (const verdict of [judgement.verdict, judgement.stepVerdict]) {
+      for (const verdict of [judgement.evaluation, judgement.stepEvaluation]) {
         if (verdict.tag === "bad") this.#haltTrial(order, verdict);
       }
       const step = this.#nextStep(order, { progress, judgement });
@@ -118,29 +121,32 @@
       lastHoldLogMs: nowMs,
     };
     this.#progressByService.set(service, progress);
-    this.#deps.evidenceBook.forget(service);
+    this.#deps.evidenceAggregator.removeService(service);
     return progress;
   }
 
-  #judge({ service, release }: RollOutOrder): Judgement {
-    const { releaseGate, serverDirectory, trialJudge, clock } = this.#deps;
+  #judge({ service, release }: RollOutOrder): CanaryAnalysis {
+    const { releaseGate, serverDirectory, canaryAnalyzer, clock } = this.#deps;
     const servers = serverDirectory.usable(service);
     const nowMs = clock.monotonicMs();
-    const { stable } = releaseGate.split(service, { servers, nowMs });
-    return trialJudge.judge({
+    const { stable } = releaseGate.eligibleServers(service, { servers, nowMs });
+    return canaryAnalyzer.analyze({
       service,
       release,
       stableRelease: stable[0]?.release,
-      share: releaseGate.trialShare(service),
+      share: releaseGate.canaryShare(service),
     });
   }
 
   #haltTrial(
     order: RollOutOrder,
-    { kind, reason, answers, failures }: Extract<Verdict, { tag: "bad" }>,
+    { kind, reason, answers, failures }: Extract<
+      CanaryEvaluation,
+      { tag: "bad" }
+    >,
   ): void {
     const { service, release } = order;
-    if (!this.#deps.releaseGate.brake({ service, release })) return;
+    if (!this.#deps.releaseGate.halt({ service, release })) return;
     this.#deps.logger.warn("Release halted", {
       service,
       release,
@@ -154,30 +160,34 @@
 
   #nextStep(
     order: RollOutOrder,
-    { progress, judgement }: { progress: OrderProgress; judgement: Judgement },
-  ): PlanStep | { readonly tag: "begin" } {
+    { progress, judgement }: {
+      progress: OrderProgress;
+      judgement: CanaryAnalysis;
+    },
+  ): CanaryStep | { readonly tag: "begin" } {
     const { releaseGate, serverDirectory, coldServerGuard, clock, bounds } =
       this.#deps;
     const { service, release, limitMs } = order;
-    const { verdict, stepVerdict, trialAnswers, allAnswers } = judgement;
-    if (releaseGate.isBraked({ service, release })) return { tag: "roll_back" };
+    const { evaluation: verdict, stepEvaluation, canaryAnswers, totalAnswers } =
+      judgement;
+    if (releaseGate.isHalted({ service, release })) return { tag: "roll_back" };
     if (order.stateRelease !== release) return { tag: "begin" };
-    const share = releaseGate.trialShare(service);
+    const share = releaseGate.canaryShare(service);
     const servers = serverDirectory.usable(service);
     // A VM that has just started infers the elapsed time from the current share.
     const elapsedMs = Math.max(
       clock.monotonicMs() - progress.firstSeenMs,
-      timeOfShare(share) * limitMs,
+      plannedTimeOfShare(share) * limitMs,
     );
-    return planStep({
+    return nextCanaryStep({
       share,
       elapsedMs,
       limitMs,
-      verdict,
-      stepVerdict,
+      evaluation: verdict,
+      stepEvaluation,
       exposure: {
-        trialAnswers,
-        allAnswers,
+        canaryAnswers,
+        totalAnswers,
         share: bounds.trialShare,
         allowance: bounds.trialAllowance,
       },
@@ -185,14 +195,17 @@
       hasServers: servers.some((server) =>
         server.release === release && !coldServerGuard.isCold(server)
       ),
-      oldWorkMs: this.#workOnOtherReleases(order),
+      previousReleaseWorkMs: this.#workOnOtherReleases(order),
     });
   }
 
   /** Logs only on the VM that is first in turn. */
   #logHold(
     { service, release, limitMs }: RollOutOrder,
-    { progress, judgement }: { progress: OrderProgress; judgement: Judgement },
+    { progress, judgement }: {
+      progress: OrderProgress;
+      judgement: CanaryAnalysis;
+    },
   ): void {
     const nowMs = this.#deps.clock.monotonicMs();
     if (
@@ -203,14 +216,14 @@
     this.#deps.logger.info("Trial is waiting", {
       service,
       release,
-      share: this.#deps.releaseGate.trialShare(service),
+      share: this.#deps.releaseGate.canaryShare(service),
       elapsed_ms: Math.round(nowMs - progress.firstSeenMs),
       limit_ms: limitMs,
-      verdict: judgement.verdict.tag,
-      step_verdict: judgement.stepVerdict.tag,
-      step_answers: judgement.stepVerdict.answers,
-      trial_answers: judgement.trialAnswers,
-      all_answers: judgement.allAnswers,
+      verdict: judgement.evaluation.tag,
+      step_verdict: judgement.stepEvaluation.tag,
+      step_answers: judgement.stepEvaluation.answers,
+      trial_answers: judgement.canaryAnswers,
+      all_answers: judgement.totalAnswers,
     });
   }
 
@@ -225,7 +238,7 @@
     order: RollOutOrder,
     { progress, step }: {
       progress: OrderProgress;
-      step: PlanStep | { readonly tag: "begin" };
+      step: CanaryStep | { readonly tag: "begin" };
     },
   ): Promise<void> {
     if (step.tag === "stay") return;
@@ -237,7 +250,7 @@
 
   #writeStep(
     order: RollOutOrder,
-    step: Exclude<PlanStep | { readonly tag: "begin" }, { tag: "stay" }>,
+    step: Exclude<CanaryStep | { readonly tag: "begin" }, { tag: "stay" }>,
   ): Promise<boolean> {
     const { service, release } = order;
     switch (step.tag) {
@@ -286,7 +299,7 @@
       state === "alive"
     ).map(({ id }) => id);
     if (stopState.stopping) return alive.length;
-    return turnOf({
+    return takeoverRank({
       self: memberTable.self.id,
       alive,
       readers: relayRole.readers,
--- a/src/gateway/try_observer.ts
+++ b/src/gateway/try_observer.ts
@@ -1,10 +1,13 @@
 /** Passes on what each try shows of servers, models and releases. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
-import type { ModelPace } from "../core/cascade/model_pace.ts";
+import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { InstanceId, RouteId, ServiceId } from "../core/ids.ts";
-import type { EvidenceBook } from "../core/rollout/evidence.ts";
-import type { SeenSession, SessionBook } from "../core/rollout/session_book.ts";
+import type { EvidenceAggregator } from "../core/rollout/evidence.ts";
+import type {
+  SessionTracker,
+  TrackedSession,
+} from "../core/rollout/session_tracker.ts";
 import type { PromptHolders } from "../core/routing/prompt_holders.ts";
 import type { ReadPace } from "../core/servers/read_pace.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
@@ -19,10 +22,10 @@
 
 interface Deps {
   readonly serverLoads: ServerLoads;
-  readonly evidenceBook: EvidenceBook;
-  readonly sessionBook: SessionBook;
+  readonly evidenceAggregator: EvidenceAggregator;
+  readonly sessionTracker: SessionTracker;
   readonly promptHolders: PromptHolders;
-  readonly modelPace: ModelPace;
+  readonly modelLatencyEstimator: ModelLatencyEstimator;
   readonly silenceWatch: SilenceWatch;
   readonly readPace: ReadPace;
   readonly clock: Clock;
@@ -43,8 +46,8 @@
 
 /** A session as it was noted, and what was known of it before. */
 interface NotedSession {
-  readonly seen: SeenSession;
-  readonly before: SeenSession | undefined;
+  readonly seen: TrackedSession;
+  readonly before: TrackedSession | undefined;
 }
 
 /** Notes the beginning, the bytes and the end of tries. */
@@ -58,7 +61,7 @@
   /** A request is about to be sent. */
   began(observed: ObservedTry): void {
     const { server, head, record, work } = observed;
-    const { serverLoads, promptHolders, sessionBook, clock } = this.#deps;
+    const { serverLoads, promptHolders, sessionTracker, clock } = this.#deps;
     const { instance } = server;
     serverLoads.begin(instance, work.readMs + work.writeMs);
     const key = promptKeyOf(head, record.model);
@@ -69,10 +72,10 @@
     if (session === undefined) return;
     const { release } = server;
     const nowMs = clock.monotonicMs();
-    const times = { seenMs: nowMs, learntMs: nowMs };
+    const times = { seenMs: nowMs, learnedAtMs: nowMs };
     // At once, so that others of the session that come meanwhile go to the same release.
     const seen = { session, release, ...times, here: true };
-    observed.noted = { seen, before: sessionBook.note(seen) };
+    observed.noted = { seen, before: sessionTracker.record(seen) };
   }
 
   /** A byte of the answer has come. */
@@ -113,7 +116,7 @@
   /** A session is not tied to a release that has run nothing of it. */
   #forgetSession({ noted }: ObservedTry): void {
     if (noted === undefined) return;
-    this.#deps.sessionBook.takeBack(noted.seen, noted.before);
+    this.#deps.sessionTracker.revert(noted.seen, noted.before);
   }
 
   #noteEvidence(
@@ -122,7 +125,7 @@
   ): void {
     const failed = speaksAgainstRelease(outcome, expired);
     if (failed === undefined) return;
-    this.#deps.evidenceBook.observe({
+    this.#deps.evidenceAggregator.observe({
       service,
       release: server.release,
       route,
@@ -134,8 +137,8 @@
 
   #notePace({ route, head, record }: ObservedTry, outcome: TryOutcome): void {
     if (outcome.tag !== "streamed" || record.model === undefined) return;
-    const { modelPace, clock } = this.#deps;
-    modelPace.observe({
+    const { modelLatencyEstimator, clock } = this.#deps;
+    modelLatencyEstimator.observe({
       route,
       model: record.model,
       firstMs: record.firstByteMs ?? 0,
--- a/src/gateway/try_observer_test.ts
+++ b/src/gateway/try_observer_test.ts
@@ -7,10 +7,10 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import type { TryOutcome } from "../backends/backend_try.ts";
-import { ModelPace } from "../core/cascade/model_pace.ts";
+import { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { PromptPartId, ReleaseId, RouteId } from "../core/ids.ts";
-import { EvidenceBook } from "../core/rollout/evidence.ts";
-import { SessionBook } from "../core/rollout/session_book.ts";
+import { EvidenceAggregator } from "../core/rollout/evidence.ts";
+import { SessionTracker } from "../core/rollout/session_tracker.ts";
 import { PromptHolders } from "../core/routing/prompt_holders.ts";
 import { ReadPace } from "../core/servers/read_pace.ts";
 import { ServerLoads } from "../core/servers/server_loads.ts";
@@ -35,18 +35,18 @@
 ];
 
 let nowMs: number;
-let sessionBook: SessionBook;
+let sessionTracker: SessionTracker;
 let observer: TryObserver;
 
 beforeEach(() => {
   nowMs = NOW_MS;
-  sessionBook = new SessionBook(10_000);
+  sessionTracker = new SessionTracker(10_000);
   observer = new TryObserver({
     serverLoads: new ServerLoads(),
-    evidenceBook: new EvidenceBook(),
-    sessionBook,
+    evidenceAggregator: new EvidenceAggregator(),
+    sessionTracker,
     promptHolders: new PromptHolders(),
-    modelPace: new ModelPace(),
+    modelLatencyEstimator: new ModelLatencyEstimator(),
     silenceWatch: new SilenceWatch(),
     readPace: new ReadPace(),
     clock: { monotonicMs: () => nowMs, wallMs: () => nowMs },
@@ -70,7 +70,7 @@
 }
 
 function release(): ReleaseId | undefined {
-  return sessionBook.releaseOf(SESSION, nowMs);
+  return sessionTracker.releaseOf(SESSION, nowMs);
 }
 
 describe("a session whose request no server ran", () => {
--- a/src/store/crash_registry.ts
+++ b/src/store/crash_registry.ts
@@ -5,7 +5,7 @@
 
 import * as z from "zod";
 import type { Crash } from "../core/crashes/crash.ts";
-import type { CrashBook } from "../core/crashes/crash_book.ts";
+import type { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { AccountId, RequestKey, ServerLife } from "../core/ids.ts";
 import {
   describeStoreError,
@@ -47,7 +47,7 @@
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly crashBook: CrashBook;
+  readonly crashHistory: CrashHistory;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -80,10 +80,10 @@
   }
 
   #unwritten(nowMs: number): RequestKey | undefined {
-    const { crashBook } = this.#deps;
+    const { crashHistory } = this.#deps;
     if (this.#written.size >= MOST_WRITTEN) return undefined;
-    return [...crashBook.poison].find((request) => {
-      const crashes = crashBook.crashesOf(request);
+    return [...crashHistory.crashingRequests].find((request) => {
+      const crashes = crashHistory.crashesOf(request);
       const lastMs = Math.max(...crashes.map(({ endedMs }) => endedMs));
       return nowMs - lastMs >= WRITE_AFTER_MS &&
         crashes.length > (this.#written.get(request) ?? 0);
@@ -133,8 +133,8 @@
   }
 
   async #write(request: RequestKey): Promise<void> {
-    const { objectStore, crashBook, logger } = this.#deps;
-    const crashes = crashBook.crashesOf(request);
+    const { objectStore, crashHistory, logger } = this.#deps;
+    const crashes = crashHistory.crashesOf(request);
     const key = { kind: CRASH_KIND, name: request };
     const call: StoreCall & { readonly spec: unknown } = {
       timeoutMs: CALL_TIMEOUT_MS,
--- a/src/store/crash_registry_test.ts
+++ b/src/store/crash_registry_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { afterEach, beforeEach, describe, it } from "node:test";
 import type { Crash } from "../core/crashes/crash.ts";
-import { CrashBook } from "../core/crashes/crash_book.ts";
+import { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { AccountId, RequestKey, ServerLife } from "../core/ids.ts";
 import { HttpObjectStore } from "../platform/http_object_store.ts";
 import { SilentLogger } from "../runtime/logger.ts";
@@ -30,14 +30,14 @@
 
 /** A VM that started so long after the first one. */
 class Vm {
-  readonly book = new CrashBook();
+  readonly book = new CrashHistory();
   readonly #registry: CrashRegistry;
   nowMs = 0;
 
   constructor(startedMs = 0) {
     this.#registry = new CrashRegistry({
       objectStore: client,
-      crashBook: this.book,
+      crashHistory: this.book,
       clock: {
         monotonicMs: () => this.nowMs,
         wallMs: () => WALL_MS + startedMs + this.nowMs,
@@ -50,7 +50,7 @@
   async step(): Promise<void> {
     this.nowMs += STEP_MS;
     const read = await this.#registry.update();
-    for (const crash of read) this.book.note(crash, this.nowMs);
+    for (const crash of read) this.book.recordCrash(crash, this.nowMs);
   }
 
   /** Sees servers end under a request, one each second. */
@@ -58,7 +58,10 @@
     for (let n = 0; n < count; n++) {
       this.nowMs += 1_000;
       const before = this.book.crashesOf(request);
-      this.book.note(crashAt(this.nowMs, { request, before }), this.nowMs);
+      this.book.recordCrash(
+        crashAt(this.nowMs, { request, before }),
+        this.nowMs,
+      );
     }
   }
 }
@@ -88,7 +91,10 @@
     await first.step();
     const second = new Vm(60_000);
     await second.step();
-    const standing = second.book.standing(REQUEST, second.nowMs + STEP_MS);
+    const standing = second.book.quarantineStatus(
+      REQUEST,
+      second.nowMs + STEP_MS,
+    );
     assert.equal(standing.tag, "quarantined");
   });
 
@@ -123,7 +129,7 @@
     store.kinds.put(KIND, { name: "other", spec: { crashes: "none" } });
     const second = new Vm(60_000);
     await second.step();
-    assert.deepEqual([...second.book.poison], [REQUEST]);
+    assert.deepEqual([...second.book.crashingRequests], [REQUEST]);
   });
 
   it("should read again where the store was away", async () => {
@@ -137,6 +143,6 @@
     assert.ok(second.book.isEmpty);
     store.setFaults({});
     await second.step();
-    assert.deepEqual([...second.book.poison], [REQUEST]);
+    assert.deepEqual([...second.book.crashingRequests], [REQUEST]);
   });
 });
--- a/src/store/store_sync.ts
+++ b/src/store/store_sync.ts
@@ -71,7 +71,7 @@
   /** Trials change only while a roll-out is under way; to follow them otherwise costs calls. */
   #accessTrials(): void {
     const { trialFollower, releaseGate } = this.#deps;
-    const isOpen = releaseGate.openOrders().length > 0;
+    const isOpen = releaseGate.activeOrders().length > 0;
     trialFollower.follower.setAccess(isOpen ? this.#access : "listener");
   }
 
--- a/src/store/trial_follower.ts
+++ b/src/store/trial_follower.ts
@@ -3,7 +3,7 @@
 import * as z from "zod";
 import type { ReleaseId, ServiceId } from "../core/ids.ts";
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
-import type { Trial } from "../core/rollout/trial.ts";
+import type { Canary } from "../core/rollout/canary.ts";
 import {
   describeStoreError,
   type ObjectStore,
@@ -74,7 +74,7 @@
       return;
     }
     this.#revisions.set(object.name, object.revision);
-    releaseGate.setTrial(parsed.data);
+    releaseGate.setCanary(parsed.data);
     logger.info("Trial changed", { ...parsed.data });
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Writes how far a trial has come, unless another VM has written meanwhile. */
-  async write(trial: Trial): Promise<boolean> {
+  async write(trial: Canary): Promise<boolean> {
     const { objectStore, logger } = this.#deps;
     const key = { kind: TRIAL_KIND, name: trial.service };
     const revision = this.#revisions.get(trial.service);
