--- a/src/gateway/attempt_observer.ts
+++ b/src/gateway/attempt_observer.ts
@@ -1,10 +1,13 @@
 /** Updates statistics of servers, models, releases and sessions from the progress of attempts. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
-import type { ModelPace } from "../core/cascade/model_pace.ts";
+import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { InstanceId, RouteId, ServiceId } from "../core/ids.ts";
-import type { EvidenceBook } from "../core/rollout/evidence.ts";
-import type { SeenSession, SessionBook } from "../core/rollout/session_book.ts";
+import type { EvidenceAggregator } from "../core/rollout/evidence.ts";
+import type {
+  SessionTracker,
+  TrackedSession,
+} from "../core/rollout/session_tracker.ts";
 import type { PromptHolders } from "../core/routing/prompt_holders.ts";
 import type { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
@@ -22,10 +25,10 @@
 
 interface Deps {
   readonly serverLoads: ServerLoads;
-  readonly evidenceBook: EvidenceBook;
-  readonly sessionBook: SessionBook;
+  readonly evidenceAggregator: EvidenceAggregator;
+  readonly sessionTracker: SessionTracker;
   readonly promptHolders: PromptHolders;
-  readonly modelPace: ModelPace;
+  readonly modelLatencyEstimator: ModelLatencyEstimator;
   readonly serverStallDetector: ServerStallDetector;
   readonly prefillTimeEstimator: PrefillTimeEstimator;
   readonly clock: Clock;
@@ -46,8 +49,8 @@
 
 /** Entry of a session that an attempt wrote, and the entry that it replaced. */
 interface SessionNote {
-  readonly current: SeenSession;
-  readonly previous: SeenSession | undefined;
+  readonly current: TrackedSession;
+  readonly previous: TrackedSession | undefined;
 }
 
 /** Observes the start, the received bytes and the end of attempts. */
@@ -61,7 +64,7 @@
   /** Called right before an attempt is sent. */
   attemptStarted(observed: ObservedAttempt): void {
     const { server, head, record, work } = observed;
-    const { serverLoads, promptHolders, sessionBook, clock } = this.#deps;
+    const { serverLoads, promptHolders, sessionTracker, clock } = this.#deps;
     const { instance } = server;
     serverLoads.begin(instance, work.prefillMs + work.decodeMs);
     const key = promptKeyOf(head, record.model);
@@ -72,10 +75,13 @@
     if (session === undefined) return;
     const { release } = server;
     const nowMs = clock.monotonicMs();
-    const times = { seenMs: nowMs, learntMs: nowMs };
+    const times = { seenMs: nowMs, learnedAtMs: nowMs };
     // Noted before the response, so that concurrent requests of the session use the same release.
     const current = { session, release, ...times, here: true };
-    observed.sessionNote = { current, previous: sessionBook.note(current) };
+    observed.sessionNote = {
+      current,
+      previous: sessionTracker.record(current),
+    };
   }
 
   /** Called whenever bytes of the response are received. */
@@ -121,7 +127,7 @@
   /** Reverts the session to its previous release, as this one has not run any of its requests. */
   #revertSession({ sessionNote }: ObservedAttempt): void {
     if (sessionNote === undefined) return;
-    this.#deps.sessionBook.takeBack(sessionNote.current, sessionNote.previous);
+    this.#deps.sessionTracker.revert(sessionNote.current, sessionNote.previous);
   }
 
   #recordEvidence(
@@ -130,7 +136,7 @@
   ): void {
     const failed = isReleaseFailure(outcome, expired);
     if (failed === undefined) return;
-    this.#deps.evidenceBook.observe({
+    this.#deps.evidenceAggregator.observe({
       service,
       release: server.release,
       route,
@@ -145,8 +151,8 @@
     outcome: TryOutcome,
   ): void {
     if (outcome.tag !== "streamed" || record.model === undefined) return;
-    const { modelPace, clock } = this.#deps;
-    modelPace.observe({
+    const { modelLatencyEstimator, clock } = this.#deps;
+    modelLatencyEstimator.observe({
       route,
       model: record.model,
       firstMs: record.firstByteMs ?? 0,
--- a/src/gateway/attempt_observer_test.ts
+++ b/src/gateway/attempt_observer_test.ts
@@ -8,10 +8,10 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import type { TryOutcome } from "../backends/backend_try.ts";
-import { ModelPace } from "../core/cascade/model_pace.ts";
+import { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { PromptPartId, ReleaseId, RouteId } from "../core/ids.ts";
-import { EvidenceBook } from "../core/rollout/evidence.ts";
-import { SessionBook } from "../core/rollout/session_book.ts";
+import { EvidenceAggregator } from "../core/rollout/evidence.ts";
+import { SessionTracker } from "../core/rollout/session_tracker.ts";
 import { PromptHolders } from "../core/routing/prompt_holders.ts";
 import { PrefillTimeEstimator } from "../core/servers/prefill_time_estimator.ts";
 import { ServerLoads } from "../core/servers/server_loads.ts";
@@ -36,18 +36,18 @@
 ];
 
 let nowMs: number;
-let sessionBook: SessionBook;
+let sessionTracker: SessionTracker;
 let observer: AttemptObserver;
 
 beforeEach(() => {
   nowMs = NOW_MS;
-  sessionBook = new SessionBook(10_000);
+  sessionTracker = new SessionTracker(10_000);
   observer = new AttemptObserver({
     serverLoads: new ServerLoads(),
-    evidenceBook: new EvidenceBook(),
-    sessionBook,
+    evidenceAggregator: new EvidenceAggregator(),
+    sessionTracker,
     promptHolders: new PromptHolders(),
-    modelPace: new ModelPace(),
+    modelLatencyEstimator: new ModelLatencyEstimator(),
     serverStallDetector: new ServerStallDetector(),
     prefillTimeEstimator: new PrefillTimeEstimator(),
     clock: { monotonicMs: () => nowMs, wallMs: () => nowMs },
@@ -71,7 +71,7 @@
 }
 
 function boundRelease(): ReleaseId | undefined {
-  return sessionBook.releaseOf(SESSION, nowMs);
+  return sessionTracker.releaseOf(SESSION, nowMs);
 }
 
 describe("session whose request was not run", () => {
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -1,8 +1,11 @@
 /** Detects requests that were starting to run on a backend server when it crashed. */
 
 import type { ServerEndCheck } from "../backends/server_end_check.ts";
-import { type Crash, mayHaveCrashed } from "../core/crashes/crash.ts";
-import type { CrashBook, Standing } from "../core/crashes/crash_book.ts";
+import { type Crash, mayHaveCausedCrash } from "../core/crashes/crash.ts";
+import type {
+  CrashHistory,
+  QuarantineStatus,
+} from "../core/crashes/crash_history.ts";
 import type { AccountId, ServerLife, ServiceId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import {
@@ -19,7 +22,7 @@
 interface Deps {
   readonly serverEndCheck: ServerEndCheck;
   readonly serverDirectory: ServerDirectory;
-  readonly crashBook: CrashBook;
+  readonly crashHistory: CrashHistory;
   readonly crashNews: CrashNews;
   readonly gatewayMetrics: GatewayMetrics;
   readonly clock: Clock;
@@ -45,7 +48,7 @@
   readonly precedingServers: readonly ServerLife[];
 }
 
-const NOT_SUSPECTED: Standing = { tag: "free" };
+const NOT_SUSPECTED: QuarantineStatus = { tag: "free" };
 
 /** Records server crashes and successes of the requests on this VM, for quarantine decisions. */
 export class CrashDetector {
@@ -56,27 +59,27 @@
   }
 
   /** Quarantine status of a request. Its key is computed only if any crash is on record. */
-  quarantineStatus({ identity }: MonitoredRequest): Standing {
-    const { crashBook, clock } = this.#deps;
-    if (crashBook.isEmpty) return NOT_SUSPECTED;
-    return crashBook.standing(identity.key, clock.monotonicMs());
+  quarantineStatus({ identity }: MonitoredRequest): QuarantineStatus {
+    const { crashHistory, clock } = this.#deps;
+    if (crashHistory.isEmpty) return NOT_SUSPECTED;
+    return crashHistory.quarantineStatus(identity.key, clock.monotonicMs());
   }
 
   /** Servers known to have crashed during a request. */
   crashedServers({ identity }: MonitoredRequest): readonly ServerLife[] {
-    const { crashBook } = this.#deps;
-    if (crashBook.isEmpty) return [];
-    return crashBook.crashesOf(identity.key).map(({ life }) => life);
+    const { crashHistory } = this.#deps;
+    if (crashHistory.isEmpty) return [];
+    return crashHistory.crashesOf(identity.key).map(({ life }) => life);
   }
 
   /** Records that a request completed successfully, which clears it of suspicion. */
   recordSuccess({ identity, attemptId: attempt }: MonitoredRequest): void {
-    const { crashBook, clock, logger } = this.#deps;
-    if (crashBook.isEmpty) return;
+    const { crashHistory, clock, logger } = this.#deps;
+    if (crashHistory.isEmpty) return;
     const nowMs = clock.monotonicMs();
     const request = identity.key;
-    const crashes = crashBook.crashesOf(request).length;
-    if (!crashBook.noteGoodEnd({ request, atMs: nowMs }, nowMs)) return;
+    const crashes = crashHistory.crashesOf(request).length;
+    if (!crashHistory.recordSuccess({ request, atMs: nowMs }, nowMs)) return;
     logger.info(
       "Request completed and is no longer suspected of crashing servers",
       {
@@ -98,7 +101,7 @@
     const { serverEndCheck, clock, gatewayMetrics } = this.#deps;
     const { server, record } = brokenAttempt;
     const endedMs = clock.monotonicMs();
-    const suspected = mayHaveCrashed({
+    const suspected = mayHaveCausedCrash({
       streaming: monitored.streaming,
       firstByteMs: record.firstByteMs,
       endedMs: endedMs - record.startedMs,
@@ -150,7 +153,7 @@
       begun: record.firstByteMs !== undefined,
       ran_ms: Math.round(endedMs - beganMs),
       suspected,
-      ended_before: this.#deps.crashBook.crashesOf(request).length,
+      ended_before: this.#deps.crashHistory.crashesOf(request).length,
     });
   }
 }
--- a/src/gateway/model_cascade.ts
+++ b/src/gateway/model_cascade.ts
@@ -1,7 +1,10 @@
 /** Chooses the model for requests whose caller leaves the choice to the router. */
 
-import { escalateTo, firstModel } from "../core/cascade/model_ladder.ts";
-import type { ModelPace } from "../core/cascade/model_pace.ts";
+import {
+  escalationTarget,
+  initialModel,
+} from "../core/cascade/model_escalation.ts";
+import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { ModelId } from "../core/ids.ts";
 import { mayRunAgain, type Route } from "../core/routes/route.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
@@ -23,18 +26,18 @@
 
 /** Starts with the initial model of a route and escalates to a larger one on low confidence. */
 export class ModelCascade {
-  readonly #modelPace: ModelPace;
+  readonly #modelPace: ModelLatencyEstimator;
   readonly #head: CallerHead;
   #model: ModelId | undefined;
   #nextModel: ModelId | undefined;
 
   constructor(
-    modelPace: ModelPace,
+    modelLatencyEstimator: ModelLatencyEstimator,
     { head, route }: { head: CallerHead; route: Route },
   ) {
-    this.#modelPace = modelPace;
+    this.#modelPace = modelLatencyEstimator;
     this.#head = head;
-    if (head.choosesModel) this.#model = firstModel(route);
+    if (head.choosesModel) this.#model = initialModel(route);
   }
 
   /** Model to use; undefined if the caller named one or the service has no models. */
@@ -48,7 +51,7 @@
     const largest = route.models.at(-1);
     if (this.#model === undefined || largest === undefined) return false;
     if (!mayRunAgain(route)) return false;
-    this.#nextModel = escalateTo({
+    this.#nextModel = escalationTarget({
       models: route.models,
       model: this.#model,
       confidence,
@@ -56,7 +59,7 @@
       targetMs: route.targetMs ?? limitMs,
       limitMs,
       largest: this.#predict(largest, route),
-      startMs: input.predictStartMs(largest),
+      largestStartMs: input.predictStartMs(largest),
       runsLeft,
     });
     return this.#nextModel !== undefined;
--- a/src/gateway/request_crash_tracker.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -1,7 +1,7 @@
 /** Tracks the server crashes that occur during one request. */
 
 import type { TryOutcome } from "../backends/backend_try.ts";
-import type { Standing } from "../core/crashes/crash_book.ts";
+import type { QuarantineStatus } from "../core/crashes/crash_history.ts";
 import type { ServerLife } from "../core/ids.ts";
 import {
   incarnationIdOf,
@@ -35,7 +35,7 @@
   }
 
   /** Waits until the quarantine decision is final, or `isOver`; returns the quarantine status. */
-  async waitUntilSettled(isOver: () => boolean): Promise<Standing> {
+  async waitUntilSettled(isOver: () => boolean): Promise<QuarantineStatus> {
     let status = this.#detector.quarantineStatus(this.#request);
     while (status.tag === "settling" && !isOver()) {
       await pause(STATUS_POLL_INTERVAL_MS);
--- a/src/gateway/request_crash_tracker_test.ts
+++ b/src/gateway/request_crash_tracker_test.ts
@@ -8,7 +8,7 @@
 import { beforeEach, describe, it } from "node:test";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 import type { ServerEndCheck } from "../backends/server_end_check.ts";
-import { CrashBook } from "../core/crashes/crash_book.ts";
+import { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { ServiceId } from "../core/ids.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
 import { CrashNews } from "../fleet/crash_news.ts";
@@ -24,7 +24,7 @@
 const AFTER_SETTLING_MS = 1_000;
 
 let nowMs: number;
-let book: CrashBook;
+let book: CrashHistory;
 let tracker: RequestCrashTracker;
 /** Completes the pending checks of the attempts so far: their servers have crashed. */
 let confirmCrashes: (() => void)[];
@@ -39,7 +39,7 @@
 
 beforeEach(() => {
   nowMs = 10_000;
-  book = new CrashBook();
+  book = new CrashHistory();
   confirmCrashes = [];
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
   const logger = new SilentLogger();
@@ -48,8 +48,8 @@
   const detector = new CrashDetector({
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
-    crashBook: book,
-    crashNews: new CrashNews({ crashBook: book, clock, logger }),
+    crashHistory: book,
+    crashNews: new CrashNews({ crashHistory: book, clock, logger }),
     gatewayMetrics: new GatewayMetrics(),
     clock,
     logger,
@@ -86,7 +86,10 @@
     for (const n of [1, 2, 3]) await crash(n);
     for (const confirm of confirmCrashes) confirm();
     await new Promise(setImmediate);
-    const status = book.standing(identity.key, nowMs + AFTER_SETTLING_MS);
+    const status = book.quarantineStatus(
+      identity.key,
+      nowMs + AFTER_SETTLING_MS,
+    );
     assert.equal(status.tag, "quarantined");
   });
 });
