--- a/src/core/cascade/model_escalation.ts
+++ b/src/core/cascade/model_escalation.ts
@@ -1,7 +1,7 @@
 /** Chooses among models of different sizes by the confidence of the smaller one. */
 
 import type { ModelId } from "../ids.ts";
-import { mayRunAgain, type Route } from "../routes/route.ts";
+import { mayRunMoreThanOnce, type Route } from "../routes/route.ts";
 import type { PredictedRun } from "./model_latency_estimator.ts";
 
 /**
@@ -46,7 +46,7 @@
  * and therefore cannot be sent to another model afterwards.
  */
 export function initialModel(route: Route): ModelId | undefined {
-  return mayRunAgain(route) ? route.models[0] : route.models.at(-1);
+  return mayRunMoreThanOnce(route) ? route.models[0] : route.models.at(-1);
 }
 
 /** Returns the larger model to escalate to; undefined if the answer should be returned. */
--- a/src/core/crashes/crash.ts
+++ b/src/core/crashes/crash.ts
@@ -1,6 +1,6 @@
 /** A backend server that ended while a request was beginning to run on it. */
 
-import type { AccountId, RequestKey, ServerLife } from "../ids.ts";
+import type { AccountId, RequestKey, ServerIncarnation } from "../ids.ts";
 
 /** One server crash attributed to one request. Times are from the monotonic clock. */
 export interface Crash {
@@ -8,14 +8,14 @@
   /** Undefined where the route needs no API key. */
   readonly account: AccountId | undefined;
   /** Incarnation of the server that ended; the same on every VM that observed the crash. */
-  readonly life: ServerLife;
+  readonly life: ServerIncarnation;
   /** `IP:port` of the server. */
   readonly address: string;
   /**
    * Incarnations that were known to have ended under the request, or had dropped its connection,
    * before it was sent to this server.
    */
-  readonly after: readonly ServerLife[];
+  readonly after: readonly ServerIncarnation[];
   readonly beganMs: number;
   readonly endedMs: number;
   /** Number of servers known for the service at that time, including this one. */
--- a/src/core/crashes/crash_attribution.ts
+++ b/src/core/crashes/crash_attribution.ts
@@ -5,7 +5,7 @@
  * have run on several of the same servers.
  */
 
-import type { RequestKey, ServerLife } from "../ids.ts";
+import type { RequestKey, ServerIncarnation } from "../ids.ts";
 import type { Crash } from "./crash.ts";
 
 /** Maximum number of servers that one request may crash, as required by the users. */
@@ -25,7 +25,7 @@
   suspects: readonly Suspect[],
 ): ReadonlySet<RequestKey> {
   const found = new Set<RequestKey>();
-  const explained = new Set<ServerLife>();
+  const explained = new Set<ServerIncarnation>();
   for (;;) {
     const unexplained = suspects
       .filter(({ request }) => !found.has(request))
--- a/src/core/crashes/crash_attribution_test.ts
+++ b/src/core/crashes/crash_attribution_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import type { RequestKey, ServerLife } from "../ids.ts";
+import type { RequestKey, ServerIncarnation } from "../ids.ts";
 import { type Crash, mayHaveCausedCrash } from "./crash.ts";
 import {
   countSequentialCrashes,
@@ -15,7 +15,7 @@
   return {
     request: request as RequestKey,
     account: undefined,
-    life: `i-${n}` as ServerLife,
+    life: `i-${n}` as ServerIncarnation,
     address: `10.0.0.${n}:1`,
     after: [],
     beganMs: n * 10_000 - 50,
@@ -96,7 +96,7 @@
   });
 
   it("should order runs whose sender knew of the earlier crashes", () => {
-    const known: ServerLife[] = [];
+    const known: ServerIncarnation[] = [];
     const crashes = [1, 2, 3].map((n) => {
       // So close together that report delays could reverse their order.
       const one = crash("a", n, {
--- a/src/core/crashes/crash_history.ts
+++ b/src/core/crashes/crash_history.ts
@@ -3,7 +3,7 @@
  * as a set union, so duplicated, late or reordered reports converge to the same state.
  */
 
-import type { AccountId, RequestKey, ServerLife } from "../ids.ts";
+import type { AccountId, RequestKey, ServerIncarnation } from "../ids.ts";
 import type { Crash } from "./crash.ts";
 import {
   CRASH_LIMIT,
@@ -53,7 +53,7 @@
 interface CrashRecord {
   readonly request: RequestKey;
   readonly account: AccountId | undefined;
-  readonly crashes: Map<ServerLife, Crash>;
+  readonly crashes: Map<ServerIncarnation, Crash>;
   /** Time of the last successful run; earlier crashes do not count. */
   successMs: number;
   /** When this VM last received new information on the request. */
--- a/src/core/servers/server_record.ts
+++ b/src/core/servers/server_record.ts
@@ -4,7 +4,7 @@
   DataCentreId,
   InstanceId,
   ReleaseId,
-  ServerLife,
+  ServerIncarnation,
   ServiceId,
 } from "../ids.ts";
 
@@ -37,10 +37,10 @@
  */
 export function incarnationIdOf(
   { instance, bornMs }: ServerIncarnationKey,
-): ServerLife {
+): ServerIncarnation {
   return (bornMs === undefined
     ? instance
-    : `${instance}/${bornMs}`) as ServerLife;
+    : `${instance}/${bornMs}`) as ServerIncarnation;
 }
 
 /** Whether a record describes a later incarnation than another record of the same server. */
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -6,7 +6,7 @@
   CrashHistory,
   QuarantineStatus,
 } from "../core/crashes/crash_history.ts";
-import type { AccountId, ServerLife, ServiceId } from "../core/ids.ts";
+import type { AccountId, ServerIncarnation, ServiceId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import {
   incarnationIdOf,
@@ -45,7 +45,7 @@
   readonly server: ServerRecord;
   readonly record: AttemptRecord;
   /** Servers that had crashed during the request, or lost its connection, before this attempt. */
-  readonly precedingServers: readonly ServerLife[];
+  readonly precedingServers: readonly ServerIncarnation[];
 }
 
 const NOT_SUSPECTED: QuarantineStatus = { tag: "free" };
@@ -66,7 +66,7 @@
   }
 
   /** Servers known to have crashed during a request. */
-  crashedServers({ identity }: MonitoredRequest): readonly ServerLife[] {
+  crashedServers({ identity }: MonitoredRequest): readonly ServerIncarnation[] {
     const { crashHistory } = this.#deps;
     if (crashHistory.isEmpty) return [];
     return crashHistory.crashesOf(identity.key).map(({ life }) => life);
--- a/src/gateway/model_cascade.ts
+++ b/src/gateway/model_cascade.ts
@@ -6,7 +6,7 @@
 } from "../core/cascade/model_escalation.ts";
 import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { ModelId } from "../core/ids.ts";
-import { mayRunAgain, type Route } from "../core/routes/route.ts";
+import { mayRunMoreThanOnce, type Route } from "../core/routes/route.ts";
 import type { CallerHead } from "../platform/header_wire.ts";
 
 /** What is known about a request when the response head of an attempt arrives. */
@@ -50,7 +50,7 @@
     const { route, confidence, usedMs, limitMs, runsLeft } = input;
     const largest = route.models.at(-1);
     if (this.#model === undefined || largest === undefined) return false;
-    if (!mayRunAgain(route)) return false;
+    if (!mayRunMoreThanOnce(route)) return false;
     this.#nextModel = escalationTarget({
       models: route.models,
       model: this.#model,
--- a/src/gateway/request_crash_tracker.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -2,7 +2,7 @@
 
 import type { TryOutcome } from "../backends/backend_try.ts";
 import type { QuarantineStatus } from "../core/crashes/crash_history.ts";
-import type { ServerLife } from "../core/ids.ts";
+import type { ServerIncarnation } from "../core/ids.ts";
 import {
   incarnationIdOf,
   type ServerRecord,
@@ -25,9 +25,9 @@
   readonly #detector: CrashDetector;
   readonly #request: MonitoredRequest;
   /** Servers known to have crashed during the request. */
-  #crashedServers: readonly ServerLife[] = [];
+  #crashedServers: readonly ServerIncarnation[] = [];
   /** Servers that this VM lost connections to during the request, whether or not they crashed. */
-  readonly #disconnectedServers: ServerLife[] = [];
+  readonly #disconnectedServers: ServerIncarnation[] = [];
 
   constructor(detector: CrashDetector, request: MonitoredRequest) {
     this.#detector = detector;
--- a/src/gateway/run_tally.ts
+++ b/src/gateway/run_tally.ts
@@ -1,7 +1,7 @@
 /** Counts the outcomes of one request's attempts, and decides whether further ones may follow. */
 
 import type { Refusal } from "../core/refusal.ts";
-import { mayRunAgain, type Route } from "../core/routes/route.ts";
+import { mayRunMoreThanOnce, type Route } from "../core/routes/route.ts";
 
 /** Servers tried per run of a request while each replies that it did not process it. */
 const MAX_REFUSALS_PER_RUN = 3;
@@ -94,7 +94,7 @@
 
   /** Whether the route allows a further run in addition to those in flight. */
   mayRetry(route: Route, inFlight = 0): boolean {
-    return mayRunAgain(route) && this.#runs + inFlight < route.maxRuns;
+    return mayRunMoreThanOnce(route) && this.#runs + inFlight < route.maxRuns;
   }
 
   /** Refusal for a request that no server accepts. */
