--- a/src/configuration/configuration_follower.ts
+++ b/src/configuration/configuration_follower.ts
@@ -76,7 +76,7 @@
 
   async #watchLoop(): Promise<void> {
     while (!this.#stop.signal.aborted) {
-      if (!this.#deps.relayRole.held) {
+      if (!this.#deps.relayRole.isRelay) {
         await pause(ROLE_CHECK_MS);
         continue;
       }
--- a/src/configuration/freshness_keeper.ts
+++ b/src/configuration/freshness_keeper.ts
@@ -100,8 +100,8 @@
   async #askOthers(): Promise<void> {
     const { holderReporter, prober } = this.#deps;
     const { rosters } = holderReporter;
-    if (rosters.length === 0) return await prober.ask(this.#confirmedPeers());
-    await prober.ask(this.#nextOf(new Set(rosters.flat())));
+    if (rosters.length === 0) return await prober.poll(this.#confirmedPeers());
+    await prober.poll(this.#nextOf(new Set(rosters.flat())));
     this.#confirmByMajority();
   }
 
@@ -147,7 +147,7 @@
     const { id: except } = memberTable.self;
     const options = { count: PEERS_ASKED, except };
     return [
-      ...relayRole.toAsk().slice(0, PEERS_ASKED),
+      ...relayRole.relaysByPreference().slice(0, PEERS_ASKED),
       ...probeOrder.some(memberTable.others(), options),
     ];
   }
--- a/src/configuration/holder_reporter.ts
+++ b/src/configuration/holder_reporter.ts
@@ -120,11 +120,11 @@
       this.#deps;
     const { self } = memberTable;
     const entry = self.id;
-    if (!relayRole.held) {
+    if (!relayRole.isRelay) {
       if (this.#reported === undefined) return undefined;
       return { ...this.#reported, roster: [], held: [] };
     }
-    const relays = new Set(relayRole.toAsk().map(({ id }) => id));
+    const relays = new Set(relayRole.relaysByPreference().map(({ id }) => id));
     const followers = memberTable.others().filter((member) =>
       member.data_centre === self.data_centre && !relays.has(member.id)
     );
--- a/src/entry/vm_list_follower.ts
+++ b/src/entry/vm_list_follower.ts
@@ -56,7 +56,7 @@
 
   async #refresh(): Promise<void> {
     const { relayRole } = this.#deps;
-    if (relayRole.held || !await this.#askRelay()) await this.#askPlatform();
+    if (relayRole.isRelay || !await this.#askRelay()) await this.#askPlatform();
   }
 
   /** Returns whether a relay answered. */
@@ -69,7 +69,7 @@
       freshness,
       clock,
     } = this.#deps;
-    for (const relay of relayRole.toAsk()) {
+    for (const relay of relayRole.relaysByPreference()) {
       const startedMs = clock.monotonicMs();
       const answer = await peers.vmView(
         relay.peers,
@@ -100,7 +100,7 @@
     const { vmViewHolder, serverPool, prober } = this.#deps;
     vmViewHolder.set(view);
     serverPool.setDraining(view.leaving);
-    prober.setListed(view.entries);
+    prober.setListedAddresses(view.entries);
   }
 }
 
--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -1,4 +1,4 @@
-/** Exchanges digests with other VMs again and again, and so finds who has failed. */
+/** Exchanges digests with other VMs periodically, and thereby detects failed VMs. */
 
 import type { Member } from "../core/membership/member.ts";
 import type { FleetSize } from "../core/membership/fleet_size.ts";
@@ -11,65 +11,65 @@
 import { RepeatedTask } from "../runtime/repeated_task.ts";
 import type { CrashRegistry } from "../store/crash_registry.ts";
 import type { VmRegistry } from "../store/vm_registry.ts";
-import type { CrashNews } from "./crash_news.ts";
-import type { DigestKeeper } from "./digest_keeper.ts";
-import type { Asked, FleetRelayRole } from "./fleet_relay_role.ts";
+import type { CrashGossip } from "./crash_gossip.ts";
+import type { DigestService } from "./digest_service.ts";
+import type { FleetRelayRole, QueryOutcome } from "./fleet_relay_role.ts";
 import type { StoreSubscriber } from "./store_subscriber.ts";
 import type { VmClients } from "./vm_clients.ts";
 
-/** Time between rounds. Load and sessions that others tell are about as old as this. */
+/** Interval between rounds. Load and sessions received from other VMs are about this old. */
 const ROUND_MS = 400;
 /**
- * Other relays for each one that a relay asks in a round: each pair of them talks about
- * every 1.2 seconds, counting the questions of both.
+ * A relay contacts one in this many other relays per round, so that each pair of relays exchanges
+ * digests about every 1.2 seconds, counting the requests of both sides.
  */
-const RELAYS_PER_ASKED = 6;
-/** A VM that follows a relay asks one VM of all in so many rounds, to find who has failed. */
+const RELAYS_PER_REQUEST = 6;
+/** A follower probes one VM of the whole fleet once in this many rounds, to detect failures. */
 const PROBE_EVERY_ROUNDS = 5;
-/** Silent followers that a relay asks in one round, at most. */
-const MOST_SILENT_ASKED = 4;
-/** Relays that a VM asks in one round, at most, until one answers. */
-const MOST_RELAYS_TRIED = 2;
-/** Longest wait for an answer; VMs stand a few milliseconds apart. */
+/** Maximum number of overdue followers that a relay probes in one round. */
+const MAX_OVERDUE_PROBED = 4;
+/** Maximum number of relays that a follower tries in one round until one answers. */
+const MAX_RELAYS_TRIED = 2;
+/** Timeout of a digest exchange; round trips between VMs take a few milliseconds. */
 const TIMEOUT_MS = 700;
-/** Rounds after which a VM knows the others, and so whether it reads the store for them. */
+/** Rounds after which a VM knows the other VMs, and thus whether it is a reader for them. */
 const SETTLED_ROUNDS = 4;
 /**
- * Rounds after which a VM that knows no other writes its address down all the same. Where
- * many come back together, some are alone for longer than the others need to settle.
+ * Rounds after which a VM that knows no other VM registers its address in the store anyway. When
+ * many VMs restart together, some are alone for longer than the others need to settle.
  */
-const ALONE_WRITE_ROUNDS = 12;
+const ALONE_REGISTER_ROUNDS = 12;
 /**
- * Rounds after which a VM that knows no other looks for them in the store. Most hear of all
- * by a seed in the first round, and the store is paid by the call.
+ * Rounds after which a VM that knows no other VM looks for them in the store. Most VMs learn of
+ * all others from a seed in the first round, and each store call is billed.
  */
-const ALONE_ROUNDS = 4;
+const ALONE_LOOKUP_ROUNDS = 4;
 /**
- * A VM that follows a relay asks it in every so many rounds: changes take up to that much
- * longer to come to it, of the two or three seconds that they may take.
+ * A follower requests a digest from its relay once in this many rounds. Changes reach it up to this
+ * much later, out of the two or three seconds that they may take.
  */
 const FOLLOW_EVERY_ROUNDS = 2;
-/** Every so many rounds a seed is asked, so that fleets that were apart join again. */
+/** Seeds are contacted once in this many rounds, so that a partitioned fleet merges again. */
 const SEED_EVERY_ROUNDS = 12;
 
-/** VMs that keep requests that crash servers in the store. */
-const CRASH_KEEPERS = 2;
+/** Number of VMs that write the requests that crash servers to the store. */
+const CRASH_WRITERS = 2;
 /**
- * News that cannot wait is gathered for this long before it is told: requests that ran beside
- * each other are all known to have lost their server within some milliseconds.
+ * Urgent crashes are batched for this long before they are sent: requests that ran concurrently
+ * are all found to have lost their server within some milliseconds.
  */
-const URGENT_DELAY_MS = 20;
+const URGENT_BATCH_MS = 20;
 
 interface Deps {
   readonly memberTable: MemberTable;
   readonly probeOrder: ProbeOrder;
-  readonly digestKeeper: DigestKeeper;
-  readonly crashNews: CrashNews;
+  readonly digestService: DigestService;
+  readonly crashGossip: CrashGossip;
   readonly fleetSize: FleetSize;
   readonly clock: Clock;
   readonly trustClock: TrustClock;
   readonly logger: Logger;
-  /** Addresses of VMs that may be there, from settings and store. */
+  /** Addresses of VMs that may be running, from the settings and the store. */
   readonly seedAddresses: () => readonly string[];
   readonly vmRegistry: VmRegistry;
   readonly crashRegistry: CrashRegistry;
@@ -78,7 +78,7 @@
   readonly vmClients: VmClients;
 }
 
-/** Talks to a few VMs in each round. */
+/** Exchanges digests with a few VMs in each round. */
 export class DigestExchanger {
   readonly #deps: Deps;
   readonly #task = new RepeatedTask({
@@ -86,114 +86,118 @@
     run: () => this.#round(),
   });
   #rounds = 0;
-  #urgent: NodeJS.Timeout | undefined;
+  #urgentTimer: NodeJS.Timeout | undefined;
 
   constructor(deps: Deps) {
     this.#deps = deps;
-    deps.crashNews.onUrgent((here) => this.#tellUrgent(here));
+    deps.crashGossip.onUrgent((here) => this.#sendUrgent(here));
   }
 
-  /** Starts to talk. */
+  /** Starts the rounds. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to talk. */
+  /** Stops the rounds and closes all connections. */
   async stop(): Promise<void> {
     this.#task.stop();
-    clearTimeout(this.#urgent);
+    clearTimeout(this.#urgentTimer);
     this.#deps.storeSubscriber.stop();
     await this.#deps.vmClients.close();
   }
 
-  /** Tells all relays at once, as when this VM leaves; the others hear of it by them. */
+  /** Sends a digest to all relays immediately, e.g. on shutdown; they inform the other VMs. */
   async announce(): Promise<void> {
-    const relays = this.#deps.relayRole.others();
-    await Promise.all(relays.map(({ peers }) => this.#ask(peers)));
+    const relays = this.#deps.relayRole.otherRelays();
+    await Promise.all(relays.map(({ peers }) => this.#exchange(peers)));
   }
 
   /**
-   * Tells at once what cannot wait for the next round: the VM that is first to know tells all
-   * relays, and each relay those that follow it. News that comes meanwhile goes along.
+   * Sends urgent crashes without waiting for the next round: the first VM to know of them sends
+   * them to all relays, and each relay to its followers. Crashes found meanwhile are included.
    */
-  #tellUrgent(here: boolean): void {
-    if (!here && !this.#deps.relayRole.held) return;
-    this.#urgent ??= setTimeout(() => {
-      this.#urgent = undefined;
+  #sendUrgent(here: boolean): void {
+    if (!here && !this.#deps.relayRole.isRelay) return;
+    this.#urgentTimer ??= setTimeout(() => {
+      this.#urgentTimer = undefined;
       const { memberTable, relayRole } = this.#deps;
-      const followers = relayRole.held
+      const followers = relayRole.isRelay
         ? memberTable.others().filter((member) => relayRole.isFollower(member))
         : [];
-      const told = here ? [...relayRole.others(), ...followers] : followers;
-      for (const { peers } of told) void this.#ask(peers);
-    }, URGENT_DELAY_MS);
+      const recipients = here
+        ? [...relayRole.otherRelays(), ...followers]
+        : followers;
+      for (const { peers } of recipients) void this.#exchange(peers);
+    }, URGENT_BATCH_MS);
   }
 
-  /** Two VMs of the fleet, so that one may fail, keep in the store what must outlast all of them. */
-  async #keepCrashes(): Promise<void> {
-    const { relayRole, memberTable, crashRegistry, crashNews } = this.#deps;
-    const keepers = relayRole.readers
+  /** Writes crashes to the store, so that they outlive all VMs; two VMs do so, as one may fail. */
+  async #storeCrashes(): Promise<void> {
+    const { relayRole, memberTable, crashRegistry, crashGossip } = this.#deps;
+    const writers = relayRole.readers
       .filter((vm) => !relayRole.hasLostStore(vm))
       .sort()
-      .slice(0, CRASH_KEEPERS);
-    if (!keepers.includes(memberTable.self.id)) return;
-    crashNews.read(await crashRegistry.update());
+      .slice(0, CRASH_WRITERS);
+    if (!writers.includes(memberTable.self.id)) return;
+    crashGossip.recordStored(await crashRegistry.update());
   }
 
   async #round(): Promise<void> {
-    const { memberTable, digestKeeper, relayRole, clock, logger } = this.#deps;
+    const { memberTable, digestService, relayRole, clock, logger } = this.#deps;
     this.#rounds += 1;
-    digestKeeper.expire();
+    digestService.removeExpired();
     relayRole.update();
     this.#deps.storeSubscriber.update();
-    // Nothing waits for slow VMs: the next round comes whether or not they answer.
-    if (!relayRole.held) this.#follow();
-    // Whoever starts later and finds no seed alive looks for readers in the store.
+    // A round does not wait for slow VMs: the next one starts whether or not they answer.
+    if (!relayRole.isRelay) this.#contactRelay();
+    // A VM that starts later and finds no seed alive looks for readers in the store.
     const members = memberTable.others();
-    const settled = members.length === 0 ? ALONE_WRITE_ROUNDS : SETTLED_ROUNDS;
-    if (relayRole.reads && this.#rounds > settled) {
+    const settled = members.length === 0
+      ? ALONE_REGISTER_ROUNDS
+      : SETTLED_ROUNDS;
+    if (relayRole.isReader && this.#rounds > settled) {
       void this.#deps.vmRegistry.write();
-      void this.#keepCrashes();
+      void this.#storeCrashes();
     }
-    for (const member of this.#chosen()) void this.#probe(member);
-    if (members.length === 0 && this.#rounds > ALONE_ROUNDS) {
+    for (const member of this.#probeTargets()) void this.#probe(member);
+    if (members.length === 0 && this.#rounds > ALONE_LOOKUP_ROUNDS) {
       void this.#deps.vmRegistry.whileAlone();
     }
     if (members.length === 0 || this.#rounds % SEED_EVERY_ROUNDS === 0) {
-      this.#askSeeds(members);
+      this.#contactSeeds(members);
     }
     const nowMs = clock.monotonicMs();
     this.#deps.fleetSize.observe(memberTable.everyone(), nowMs);
     for (const id of memberTable.expire(nowMs, { keepDead: false })) {
-      logger.warn("VM is taken as dead", { peer: id });
+      logger.warn("VM is considered dead", { peer: id });
     }
     await Promise.resolve();
   }
 
-  /** VMs to ask besides the relay that this VM follows. */
-  #chosen(): Member[] {
+  /** VMs to probe in this round, besides the relay that this VM follows. */
+  #probeTargets(): Member[] {
     const { memberTable, relayRole } = this.#deps;
-    if (!relayRole.held) {
+    if (!relayRole.isRelay) {
       const due = this.#rounds % PROBE_EVERY_ROUNDS === 0;
-      return due ? this.#some(memberTable.others(), 1) : [];
+      return due ? this.#sample(memberTable.others(), 1) : [];
     }
-    const relays = relayRole.others();
-    const count = Math.ceil(relays.length / RELAYS_PER_ASKED);
-    return [...this.#some(relays, count), ...this.#silentFollowers()];
+    const relays = relayRole.otherRelays();
+    const count = Math.ceil(relays.length / RELAYS_PER_REQUEST);
+    return [...this.#sample(relays, count), ...this.#overdueFollowers()];
   }
 
-  /** VMs that should have asked this relay lately, but have not. */
-  #silentFollowers(): Member[] {
-    const { memberTable, digestKeeper, relayRole } = this.#deps;
+  /** Followers of this relay that have not sent a digest recently. */
+  #overdueFollowers(): Member[] {
+    const { memberTable, digestService, relayRole } = this.#deps;
     return memberTable.others()
       .filter((member) => relayRole.isFollower(member))
-      .filter(({ id }) => !digestKeeper.hasHeard(id))
-      .slice(0, MOST_SILENT_ASKED);
+      .filter(({ id }) => !digestService.hasRecentDigest(id))
+      .slice(0, MAX_OVERDUE_PROBED);
   }
 
-  #some(members: readonly Member[], most: number): Member[] {
+  #sample(members: readonly Member[], max: number): Member[] {
     const chosen: Member[] = [];
-    const count = Math.min(most, members.length);
+    const count = Math.min(max, members.length);
     while (chosen.length < count) {
       const next = this.#deps.probeOrder.next(members);
       if (next === undefined || chosen.includes(next)) break;
@@ -202,52 +206,54 @@
     return chosen;
   }
 
-  /** Asks a relay now and then, and in each round while none is followed. */
-  #follow(): void {
+  /** Contacts a relay every few rounds, and in each round while no relay is available. */
+  #contactRelay(): void {
     const due = this.#rounds % FOLLOW_EVERY_ROUNDS === 0;
-    if (due || this.#deps.relayRole.asksStore) void this.#askRelay();
+    if (due || this.#deps.relayRole.readsStore) void this.#tryRelays();
   }
 
-  async #askRelay(): Promise<void> {
+  async #tryRelays(): Promise<void> {
     const { relayRole } = this.#deps;
-    for (const relay of relayRole.toAsk().slice(0, MOST_RELAYS_TRIED)) {
-      const asked = await this.#ask(relay.peers);
-      relayRole.heard(relay.id, asked);
-      if (asked === "in_touch") return;
+    for (
+      const relay of relayRole.relaysByPreference().slice(0, MAX_RELAYS_TRIED)
+    ) {
+      const outcome = await this.#exchange(relay.peers);
+      relayRole.recordOutcome(relay.id, outcome);
+      if (outcome === "in_touch") return;
     }
   }
 
   async #probe(member: Member): Promise<void> {
-    if (await this.#ask(member.peers) !== "silent") return;
+    if (await this.#exchange(member.peers) !== "silent") return;
     const { memberTable, clock, logger } = this.#deps;
-    // A second miss in a row is needed where one packet may have been lost.
-    if (await this.#ask(member.peers) !== "silent") return;
+    // One packet may have been lost, so only two failures in a row count.
+    if (await this.#exchange(member.peers) !== "silent") return;
     if (memberTable.suspect(member.id, clock.monotonicMs())) {
-      logger.warn("VM is suspected", { peer: member.id });
+      logger.warn("VM is suspected to have failed", { peer: member.id });
     }
   }
 
-  #askSeeds(members: readonly Member[]): void {
+  #contactSeeds(members: readonly Member[]): void {
     const { memberTable, seedAddresses } = this.#deps;
     const known = new Set(members.map(({ peers }) => peers));
     known.add(memberTable.self.peers);
     const unknown = seedAddresses().filter((seed) => !known.has(seed));
-    for (const seed of new Set(unknown)) void this.#ask(seed);
+    for (const seed of new Set(unknown)) void this.#exchange(seed);
   }
 
-  async #ask(address: string): Promise<Asked> {
-    const { digestKeeper } = this.#deps;
-    const question = digestKeeper.question();
+  async #exchange(address: string): Promise<QueryOutcome> {
+    const { digestService } = this.#deps;
+    const request = digestService.createRequest();
     const askedMs = this.#deps.trustClock.nowMs();
     const answer = await this.#deps.vmClients.call(address, {
       timeoutMs: TIMEOUT_MS,
-      ask: async (client, signal) =>
+      invoke: async (client, signal) =>
         digestAnswerSchema.parse(
-          await client.exchange.mutate(question, { signal }),
+          await client.exchange.mutate(request, { signal }),
         ),
     });
     if (!answer.ok) return "silent";
-    const inTouch = digestKeeper.hearAnswer(answer.value, askedMs);
+    const inTouch = digestService.receiveAnswer(answer.value, askedMs);
     return inTouch ? "in_touch" : "answered";
   }
 }
--- a/src/fleet/digest_router.ts
+++ b/src/fleet/digest_router.ts
@@ -1,4 +1,4 @@
-/** What VMs on the users' platform may ask of each other, by tRPC. */
+/** tRPC procedures that the VMs of a fleet on the users' platform offer each other. */
 
 import { initTRPC } from "@trpc/server";
 import {
@@ -15,37 +15,37 @@
   type PlaceQuestion,
   placeQuestionSchema,
 } from "../protocol/place_schema.ts";
-import type { StoreNews } from "./store_feed.ts";
+import type { StoreFeedHandler } from "./store_feed.ts";
 
 const trpc = initTRPC.create();
 
-/** Takes in what another VM tells, and tells in turn. */
-export interface DigestExchange {
+/** Merges the digest of another VM and answers with this VM's digest. */
+export interface DigestHandler {
   exchange(question: DigestQuestion): DigestAnswer;
 }
 
-/** Lends places at servers that take only so much from all VMs together. */
-export interface PlaceLending {
-  lend(question: PlaceQuestion): PlaceAnswer;
+/** Grants permits for servers with a rate limit that all VMs share. */
+export interface PermitHandler {
+  grant(question: PlaceQuestion): PlaceAnswer;
 }
 
-/** What answers the questions of other VMs. */
-export interface DigestAnswerers {
-  readonly digestKeeper: DigestExchange;
-  readonly storeFeed: StoreNews;
-  readonly placeLender: PlaceLending;
+/** Handlers of the procedures. */
+export interface FleetHandlers {
+  readonly digestService: DigestHandler;
+  readonly storeFeed: StoreFeedHandler;
+  readonly permitGranter: PermitHandler;
 }
 
-/** Returns the router of one VM. */
+/** Creates the router of one VM. */
 export function createDigestRouter(
-  { digestKeeper, storeFeed, placeLender }: DigestAnswerers,
+  { digestService, storeFeed, permitGranter }: FleetHandlers,
 ) {
   return trpc.router({
     exchange: trpc.procedure.input(digestQuestionSchema).mutation(
-      ({ input }): DigestAnswer => digestKeeper.exchange(input),
+      ({ input }): DigestAnswer => digestService.exchange(input),
     ),
     lend: trpc.procedure.input(placeQuestionSchema).mutation(
-      ({ input }): PlaceAnswer => placeLender.lend(input),
+      ({ input }): PlaceAnswer => permitGranter.grant(input),
     ),
     feed: trpc.procedure.input(feedQuestionSchema).mutation(
       ({ input }): Promise<FeedAnswer> => storeFeed.next(input),
@@ -53,13 +53,13 @@
   });
 }
 
-/** Type of the router, from which the client's types follow. */
+/** Router type, from which the client types are inferred. */
 export type DigestRouter = ReturnType<typeof createDigestRouter>;
 
-/** Returns the router's procedures as functions that check what they are given. */
-export function createDigestCaller(answerers: DigestAnswerers) {
-  return trpc.createCallerFactory(createDigestRouter(answerers))({});
+/** Returns the router's procedures as functions that validate their input. */
+export function createDigestCaller(handlers: FleetHandlers) {
+  return trpc.createCallerFactory(createDigestRouter(handlers))({});
 }
 
-/** Type of those functions. */
+/** Type of the functions that `createDigestCaller` returns. */
 export type DigestCaller = ReturnType<typeof createDigestCaller>;
--- a/src/fleet/digest_server.ts
+++ b/src/fleet/digest_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server by which other VMs exchange digests with this one. */
+/** HTTP server for the calls of other VMs of the fleet. */
 
 import { Buffer } from "node:buffer";
 import {
@@ -16,37 +16,41 @@
 } from "../runtime/packed_json.ts";
 import {
   createDigestCaller,
-  type DigestAnswerers,
   type DigestCaller,
+  type FleetHandlers,
 } from "./digest_router.ts";
 
 const MAX_BODY_BYTES = 1024 * 1024;
-/** Longer than the pause between two exchanges of a pair of VMs in a large fleet. */
+/** Longer than the interval between two exchanges of a pair of VMs in a large fleet. */
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
-/** Procedures by the path that tRPC's clients ask for. */
+/** Procedures by the request path of tRPC clients. */
 const PROCEDURES = {
   "/exchange": "exchange",
   "/feed": "feed",
   "/lend": "lend",
 } as const;
-/** Number of an error in tRPC's envelope, where its name says it all. */
-const UNSPECIFIED = -1;
+/** Numeric error code in tRPC's envelope; clients use the code name instead. */
+const UNSPECIFIED_CODE = -1;
 
 /**
- * Serves other VMs. tRPC's own server makes web requests and responses of Node's, which cost
- * quiet fleets processor time, so this one passes bodies to the procedure.
+ * Serves other VMs. tRPC's own server converts Node's requests and responses to web ones, which
+ * costs CPU time even in idle fleets, so this server passes bodies to the procedures directly.
  */
 export class DigestServer {
   readonly #server: Server;
   readonly #caller: DigestCaller;
 
-  constructor({ digestKeeper, storeFeed, placeLender }: DigestAnswerers) {
-    this.#caller = createDigestCaller({ digestKeeper, storeFeed, placeLender });
+  constructor({ digestService, storeFeed, permitGranter }: FleetHandlers) {
+    this.#caller = createDigestCaller({
+      digestService,
+      storeFeed,
+      permitGranter,
+    });
     this.#server = createServer((req, res) => void this.#handle(req, res));
     this.#server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   }
 
-  /** Starts to listen. */
+  /** Starts listening on `host:port`. */
   listen(address: string): Promise<void> {
     const { host, port } = parseAddress(address);
     return new Promise((resolve, reject) => {
@@ -55,7 +59,7 @@
     });
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.#server.close(() => resolve());
@@ -79,7 +83,7 @@
       const paths = Object.keys(PROCEDURES).join(" or ");
       throw new TRPCError({
         code: "NOT_FOUND",
-        message: `VMs ask each other by POST ${paths} only`,
+        message: `No such endpoint; use POST ${paths}`,
       });
     }
     return await this.#caller[procedure](
@@ -97,21 +101,21 @@
     if (bytes > MAX_BODY_BYTES) {
       throw new TRPCError({
         code: "PAYLOAD_TOO_LARGE",
-        message: `Digest is longer than ${MAX_BODY_BYTES} bytes`,
+        message: `Request body exceeds ${MAX_BODY_BYTES} bytes`,
       });
     }
   }
   return Buffer.concat(chunks);
 }
 
-/** The procedure checks the form of what is parsed here. */
+/** Parses JSON only; the procedure validates the value. */
 function parseBody(bytes: Buffer, encoding: string | undefined): never {
   try {
     return unpackJson(bytes, { encoding, limitBytes: MAX_BODY_BYTES }) as never;
   } catch (err) {
     throw new TRPCError({
       code: "PARSE_ERROR",
-      message: `Digest is no JSON: ${(err as Error).message}`,
+      message: `Request body is not valid JSON: ${(err as Error).message}`,
       cause: err,
     });
   }
@@ -123,11 +127,11 @@
 }
 
 interface SentAnswer extends Answer {
-  /** Whether the asker reads compressed answers. */
+  /** Whether the client accepts compressed answers. */
   readonly packed: boolean;
 }
 
-/** In the form that tRPC's clients know. */
+/** Returns the error in tRPC's envelope. */
 function errorAnswer(err: unknown): Answer {
   const error = err instanceof TRPCError
     ? err
@@ -135,7 +139,7 @@
   const { code, message } = error;
   const status = code === "INTERNAL_SERVER_ERROR" ? 500 : 400;
   const data = { code, httpStatus: status };
-  return { status, body: { error: { message, code: UNSPECIFIED, data } } };
+  return { status, body: { error: { message, code: UNSPECIFIED_CODE, data } } };
 }
 
 function send(res: ServerResponse, { status, body, packed }: SentAnswer): void {
--- a/src/fleet/digest_server_test.ts
+++ b/src/fleet/digest_server_test.ts
@@ -5,7 +5,7 @@
 import type { DigestQuestion } from "../protocol/digest_schema.ts";
 import { freePort } from "../../tests/fixtures/free_port.ts";
 import type { FeedAnswer } from "../protocol/store_schema.ts";
-import type { DigestExchange, DigestRouter } from "./digest_router.ts";
+import type { DigestHandler, DigestRouter } from "./digest_router.ts";
 import { DigestServer } from "./digest_server.ts";
 import { VmClients } from "./vm_clients.ts";
 
@@ -13,9 +13,9 @@
 
 let address: string;
 let server: DigestServer;
-let exchange: DigestExchange["exchange"];
+let exchange: DigestHandler["exchange"];
 
-const NO_NEWS: FeedAnswer = {
+const NO_CHANGES: FeedAnswer = {
   store: { reads: true, lost: false, inTouch: true, known: [], changes: [] },
   configurationVersion: 3,
   confirmedAgeMs: 5,
@@ -25,47 +25,49 @@
 beforeEach(async () => {
   address = `127.0.0.1:${await freePort()}`;
   server = new DigestServer({
-    digestKeeper: { exchange: (question) => exchange(question) },
-    placeLender: { lend: () => ({ granted: true, opensInMs: 0 }) },
-    storeFeed: { next: () => Promise.resolve(NO_NEWS) },
+    digestService: { exchange: (question) => exchange(question) },
+    permitGranter: { grant: () => ({ granted: true, opensInMs: 0 }) },
+    storeFeed: { next: () => Promise.resolve(NO_CHANGES) },
   });
   await server.listen(address);
 });
 
 afterEach(() => server.close());
 
-/** Asks for a digest as other VMs do. */
-function ask(question: unknown) {
+/** Calls the exchange procedure as other VMs do. */
+function exchangeDigest(question: unknown) {
   return call((client) => client.exchange.mutate(question as DigestQuestion));
 }
 
-async function call<T>(ask: (client: TRPCClient<DigestRouter>) => Promise<T>) {
+async function call<T>(
+  invoke: (client: TRPCClient<DigestRouter>) => Promise<T>,
+) {
   const clients = new VmClients();
   try {
-    return await clients.call(address, { timeoutMs: TIMEOUT_MS, ask });
+    return await clients.call(address, { timeoutMs: TIMEOUT_MS, invoke });
   } finally {
     await clients.close();
   }
 }
 
 describe("digest server", () => {
-  it("should refuse what is no digest, with the place of the mistake", async () => {
+  it("should reject an invalid digest and name the invalid field", async () => {
     exchange = () => {
-      throw new Error("Not asked");
+      throw new Error("Unexpected call");
     };
-    const answer = await ask({ known: [] });
+    const answer = await exchangeDigest({ known: [] });
     assert.ok(!answer.ok);
     assert.equal(answer.error.tag, "refused");
     assert.match(answer.error.reason, /digest/);
   });
 
-  it("should pass on what the feed of the store answers", async () => {
+  it("should return the answer of the store feed", async () => {
     const question = { known: [], waitMs: 1_000 };
     const answer = await call((client) => client.feed.mutate(question));
-    assert.deepEqual(answer, { ok: true, value: NO_NEWS });
+    assert.deepEqual(answer, { ok: true, value: NO_CHANGES });
   });
 
-  it("should refuse bodies that are no JSON, and unknown paths", async () => {
+  it("should reject bodies that are not valid JSON, and unknown paths", async () => {
     for (const path of ["/exchange", "/other"]) {
       const res = await request(`http://${address}${path}`, {
         method: "POST",
--- a/src/fleet/digest_keeper_test.ts
+++ b/src/fleet/digest_service_test.ts
@@ -26,9 +26,9 @@
 import { SilentLogger } from "../runtime/logger.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { StoreSync } from "../store/store_sync.ts";
-import { CrashNews } from "./crash_news.ts";
-import { DigestKeeper } from "./digest_keeper.ts";
-import { LimitNews } from "./limit_news.ts";
+import { CrashGossip } from "./crash_gossip.ts";
+import { DigestService } from "./digest_service.ts";
+import { LimitGossip } from "./limit_gossip.ts";
 import type { FleetRelayRole } from "./fleet_relay_role.ts";
 
 const SERVER = "i-1" as InstanceId;
@@ -37,10 +37,10 @@
 const ROUTE = "r-1" as RouteId;
 const GAP_MS = 5_000;
 
-/** Time of all VMs. */
+/** Clock shared by all VMs. */
 let nowMs = 0;
 
-/** The parts of one VM that a digest is made from. */
+/** One VM with the components from which its digests are built. */
 class Vm {
   readonly loads = new ServerLoads();
   readonly directory = new ServerDirectory();
@@ -49,7 +49,7 @@
   readonly crashes = new CrashBook();
   readonly evidence = new EvidenceBook();
   readonly sessions = new SessionBook(GAP_MS);
-  readonly #keeper: DigestKeeper;
+  readonly #service: DigestService;
 
   constructor(id: string, { relay }: { relay: boolean }) {
     const releaseGate = new ReleaseGate();
@@ -60,16 +60,16 @@
       state: undefined,
       stateRelease: undefined,
     });
-    this.#keeper = new DigestKeeper({
+    this.#service = new DigestService({
       memberTable: new MemberTable(testMember(id)),
       serverLoads: this.loads,
       promptHolders: this.holders,
-      crashNews: new CrashNews({
+      crashGossip: new CrashGossip({
         crashBook: this.crashes,
         clock: { wallMs: () => nowMs, monotonicMs: () => nowMs },
         logger: new SilentLogger(),
       }),
-      limitNews: new LimitNews({
+      limitGossip: new LimitGossip({
         serverLimits: this.limits,
         clock: { wallMs: () => nowMs, monotonicMs: () => nowMs },
         logger: new SilentLogger(),
@@ -98,8 +98,8 @@
         hear: () => relay,
       } as unknown as StoreSync,
       relayRole: {
-        held: relay,
-        heardStore: () => {},
+        isRelay: relay,
+        recordStoreStatus: () => {},
       } as unknown as FleetRelayRole,
       unitHash,
       clock: { monotonicMs: () => nowMs, wallMs: () => 1 },
@@ -107,21 +107,21 @@
     });
   }
 
-  /** Asks another VM, as in one round, and both add up what they know. */
-  ask(other: Vm): void {
-    const answer = other.#keeper.exchange(this.#keeper.question());
-    this.#keeper.hearAnswer(answer, nowMs);
-    this.#keeper.expire();
-    other.#keeper.expire();
+  /** Exchanges digests with another VM, as in one round; both then aggregate what they received. */
+  exchangeWith(other: Vm): void {
+    const answer = other.#service.exchange(this.#service.createRequest());
+    this.#service.receiveAnswer(answer, nowMs);
+    this.#service.removeExpired();
+    other.#service.removeExpired();
   }
 
-  /** Serves a session by the release on trial. */
+  /** Serves a session with the canary release. */
   note(session: PromptPartId): void {
     const times = { seenMs: nowMs, learntMs: nowMs };
     this.sessions.note({ session, release: NEW, ...times, here: true });
   }
 
-  /** Counts a failed answer of the release on trial. */
+  /** Counts a failed answer of the canary release. */
   fail(): void {
     this.evidence.observe({
       service: SERVICE,
@@ -132,15 +132,15 @@
     });
   }
 
-  /** Failures of the release on trial, as seen from here. */
+  /** Failures of the canary release known to this VM. */
   get failures(): number {
     const rows = [...this.evidence.total(SERVICE, NEW).values()];
     return rows.reduce((sum, { failures }) => sum + failures, 0);
   }
 }
 
-/** A session of those that VMs tell each other of. */
-function toldSession(): PromptPartId {
+/** Returns a session in the sample that VMs share with each other. */
+function sharedSession(): PromptPartId {
   for (let n = 0;; n++) {
     const session = `part-${n}` as PromptPartId;
     if (sessionPoint(session, unitHash) < TOLD_SHARE) return session;
@@ -150,11 +150,11 @@
 let relays: Vm[];
 let followers: Vm[];
 
-/** Each follower asks its relay, and the relays ask each other. */
-function round(): void {
-  followers.forEach((vm, at) => vm.ask(relays[at % 2] as Vm));
-  relays[0]?.ask(relays[1] as Vm);
-  followers.forEach((vm, at) => vm.ask(relays[at % 2] as Vm));
+/** Each follower exchanges digests with its relay, and the relays with each other. */
+function runRound(): void {
+  followers.forEach((vm, at) => vm.exchangeWith(relays[at % 2] as Vm));
+  relays[0]?.exchangeWith(relays[1] as Vm);
+  followers.forEach((vm, at) => vm.exchangeWith(relays[at % 2] as Vm));
 }
 
 beforeEach(() => {
@@ -164,79 +164,79 @@
 });
 
 describe("digests between followers and relays", () => {
-  it("should count the work of each VM once, however often it is told", () => {
+  it("should count the work of each VM once, however often it is reported", () => {
     const all = [...relays, ...followers];
     for (const vm of all) vm.loads.begin(SERVER, 100);
-    for (let n = 0; n < 3; n++) round();
+    for (let n = 0; n < 3; n++) runRound();
     assert.deepEqual(
       all.map(({ loads }) => loads.work(SERVER)),
       all.map(() => 100 * all.length),
     );
   });
 
-  it("should count evidence once, also after a follower has changed its relay", () => {
+  it("should count evidence once, also after a follower has switched to another relay", () => {
     for (const vm of followers) vm.fail();
-    for (let n = 0; n < 3; n++) round();
+    for (let n = 0; n < 3; n++) runRound();
     assert.deepEqual(followers.map(({ failures }) => failures), [3, 3, 3]);
     nowMs += 2_000;
-    // Each of the others now asks the relay that it did not ask before.
+    // Each of the other followers now uses the other relay.
     followers.unshift(new Vm("vm-4", { relay: false }));
-    for (let n = 0; n < 3; n++) round();
+    for (let n = 0; n < 3; n++) runRound();
     assert.deepEqual(followers.map(({ failures }) => failures), [3, 3, 3, 3]);
   });
 
-  it("should bring limits of servers to all VMs, and their ends", () => {
+  it("should send rate limits of servers, and their removal, to all VMs", () => {
     const server = serverRecord(SERVER, { bornMs: 5 });
     const all = [...relays, ...followers];
     const limits = () => all.map((vm) => vm.limits.of(server));
     const notice = { life: server, limitPerS: 1.5, atMs: nowMs };
     followers[0]?.limits.hear(notice);
-    for (let n = 0; n < 3; n++) round();
+    for (let n = 0; n < 3; n++) runRound();
     assert.deepEqual(limits(), all.map(() => 1.5));
     nowMs += 100;
     followers[1]?.limits.namesNone(server, nowMs);
-    for (let n = 0; n < 3; n++) round();
+    for (let n = 0; n < 3; n++) runRound();
     assert.deepEqual(limits(), all.map(() => undefined));
   });
 
-  it("should forget the work of a VM that tells no more", () => {
+  it("should drop the work of a VM that no longer reports", () => {
     followers[0]?.loads.begin(SERVER, 100);
-    round();
+    runRound();
     assert.equal(followers[1]?.loads.work(SERVER), 100);
     followers.shift();
     nowMs += 2_000;
-    for (let n = 0; n < 2; n++) round();
+    for (let n = 0; n < 2; n++) runRound();
     assert.equal(followers[0]?.loads.work(SERVER), 0);
   });
 
-  it("should tell followers of sessions at other relays", () => {
-    const session = toldSession();
+  it("should send sessions known to other relays to followers", () => {
+    const session = sharedSession();
     followers[0]?.note(session);
-    round();
+    runRound();
     assert.equal(followers[1]?.sessions.releaseOf(session, nowMs), NEW);
   });
 
-  // In a fleet of 195 VMs requests of a session ran on both releases: what had come to the
-  // second relay after 1.5 s was told to none of the VMs that follow it.
-  it("should tell followers of sessions that come over the slowest hops", () => {
+  // Guards against requests of one session running on both releases, which occurred in a fleet of
+  // 195 VMs: a session that reached the second relay after 1.5 s was not sent to its followers.
+  it("should send sessions to followers that arrive over the slowest path", () => {
     const [first, second] = relays as [Vm, Vm];
-    const [teller, hearer] = followers as [Vm, Vm];
-    const session = toldSession();
-    teller.note(session);
+    const [sender, receiver] = followers as [Vm, Vm];
+    const session = sharedSession();
+    sender.note(session);
     nowMs += 800;
-    teller.ask(first);
-    hearer.ask(second);
+    sender.exchangeWith(first);
+    receiver.exchangeWith(second);
     nowMs += 800;
-    hearer.ask(second);
+    receiver.exchangeWith(second);
     nowMs += 400;
-    first.ask(second);
+    first.exchangeWith(second);
     nowMs += 400;
-    hearer.ask(second);
-    assert.equal(hearer.sessions.releaseOf(session, nowMs), NEW);
+    receiver.exchangeWith(second);
+    assert.equal(receiver.sessions.releaseOf(session, nowMs), NEW);
   });
 });
 
-describe("digests that tell of crashes", () => {
+describe("digests with crashes", () => {
   const request = "poison" as RequestKey;
 
   function crash(n: number): Crash {
@@ -255,13 +255,13 @@
     };
   }
 
-  function endThree(vm: Vm | undefined): void {
+  function recordThreeCrashes(vm: Vm | undefined): void {
     for (const n of [1, 2, 3]) vm?.crashes.note(crash(n), nowMs);
   }
 
-  it("should tell all VMs, over relays", () => {
-    endThree(followers[0]);
-    for (let n = 0; n < 2; n++) round();
+  it("should send crashes to all VMs through relays", () => {
+    recordThreeCrashes(followers[0]);
+    for (let n = 0; n < 2; n++) runRound();
     const all = [...relays, ...followers];
     assert.deepEqual(
       all.map(({ crashes }) => crashes.poison.has(request)),
@@ -269,62 +269,62 @@
     );
   });
 
-  it("should tell a VM that starts, however long ago it was", () => {
-    endThree(followers[0]);
-    round();
+  it("should send crashes of any age to a VM that starts", () => {
+    recordThreeCrashes(followers[0]);
+    runRound();
     nowMs += 60_000;
     const started = new Vm("vm-9", { relay: false });
-    started.ask(relays[0] as Vm);
+    started.exchangeWith(relays[0] as Vm);
     assert.ok(started.crashes.poison.has(request));
   });
 
-  it("should tell a VM that was frozen while others heard of it", () => {
-    round();
+  it("should send crashes to a VM that was frozen while the others received them", () => {
+    runRound();
     const frozen = followers.pop();
-    endThree(followers[0]);
+    recordThreeCrashes(followers[0]);
     for (let n = 0; n < 10; n++) {
       nowMs += 1_000;
-      round();
+      runRound();
     }
-    frozen?.ask(relays[0] as Vm);
+    frozen?.exchangeWith(relays[0] as Vm);
     assert.ok(frozen?.crashes.poison.has(request));
   });
 
-  it("should tell that a request has ended well", () => {
+  it("should report that a request has completed without a crash", () => {
     followers[0]?.crashes.note(crash(1), nowMs);
-    round();
+    runRound();
     nowMs += 500;
     followers[1]?.crashes.noteGoodEnd({ request, atMs: nowMs }, nowMs);
-    for (let n = 0; n < 2; n++) round();
+    for (let n = 0; n < 2; n++) runRound();
     assert.equal(followers[0]?.crashes.crashesOf(request).length, 0);
   });
 });
 
-describe("digests that tell of servers that leave", () => {
+describe("digests with draining servers", () => {
   const server = serverRecord(SERVER, { service: SERVICE, bornMs: 5 });
 
-  it("should reach all VMs, over relays, and VMs that start later", () => {
+  it("should reach all VMs through relays, and VMs that start later", () => {
     const all = [...relays, ...followers];
     for (const vm of all) vm.directory.put(server);
     followers[0]?.directory.leaves(server);
-    for (let n = 0; n < 2; n++) round();
+    for (let n = 0; n < 2; n++) runRound();
     const late = new Vm("vm-late", { relay: false });
     late.directory.put(server);
-    late.ask(relays[1] as Vm);
+    late.exchangeWith(relays[1] as Vm);
     for (const vm of [...all, late]) {
       assert.deepEqual(vm.directory.usable(SERVICE), []);
     }
   });
 
-  it("should say nothing of the next life, nor of one without a birth", () => {
+  it("should not affect the next incarnation, nor servers without a start time", () => {
     const [first, second] = followers;
     first?.directory.put(server);
     first?.directory.leaves(server);
     second?.directory.put({ ...server, bornMs: 6 });
-    const unborn = serverRecord("i-2", { service: SERVICE });
-    for (const vm of [first, second]) vm?.directory.put(unborn);
-    first?.directory.leaves(unborn);
-    for (let n = 0; n < 2; n++) round();
+    const withoutStartTime = serverRecord("i-2", { service: SERVICE });
+    for (const vm of [first, second]) vm?.directory.put(withoutStartTime);
+    first?.directory.leaves(withoutStartTime);
+    for (let n = 0; n < 2; n++) runRound();
     assert.equal(second?.directory.usable(SERVICE).length, 2);
   });
 });
--- a/src/fleet/fleet_relay_role.ts
+++ b/src/fleet/fleet_relay_role.ts
@@ -1,4 +1,4 @@
-/** Whether this VM is a relay or reads the store, which VMs do, and who of them answers. */
+/** Determines which VMs are relays and which read the store, and tracks whether they respond. */
 
 import {
   fleetRelays,
@@ -17,34 +17,34 @@
 import type { StoreSync } from "../store/store_sync.ts";
 
 /**
- * A VM that has heard no relay in touch with the store for this long asks the store
- * itself: two questions, and within the seconds in which changes must be in force.
+ * A VM reads the store itself when no relay that is connected to the store has answered for this
+ * long: the time of two requests, and within the seconds in which changes must take effect.
  */
-const RELAY_PATIENCE_MS = 1_800;
+const RELAY_TIMEOUT_MS = 1_800;
 /**
- * A relay asks the store itself once the newest confirmation by a reader is older than
- * this, in milliseconds. Readers confirm every 1.4 to 1.7 s and tell at once; a change that no
- * reader hears of is then in force on relays after this time, and on their followers 0.8 s
- * later.
+ * A relay reads the store itself when the latest confirmation by a reader is older than this.
+ * Readers confirm every 1.4 to 1.7 s and notify relays immediately. A change that no reader
+ * receives thus takes effect on relays after this time, and on their followers 0.8 s later.
  */
-const READER_PATIENCE_MS = 2_100;
-/** A VM that told that it has lost the store is no reader for this long, unless it tells otherwise. */
-const LOST_STORE_MS = 5_000;
+const READER_CONFIRMATION_TIMEOUT_MS = 2_100;
+/** A VM that reports a lost store is no reader for this long, unless it reports recovery. */
+const STORE_LOSS_TTL_MS = 5_000;
 /**
- * A VM that is a reader no more reads on for this long, until the others have heard of its
- * successor: two questions between a pair of relays.
+ * A VM that is no longer a reader keeps reading for this long, until the other VMs know its
+ * successor: the time of two requests between a pair of relays.
  */
-const READER_LINGER_MS = 2_000;
+const READER_HANDOVER_MS = 2_000;
 /**
- * A VM whose relays answer, but are out of touch with the store, asks it itself only after
- * this: the store is then lost for relays of all data centres, and hardly there for others.
+ * A VM whose relays answer but are disconnected from the store reads the store itself only after
+ * this time: the relays of all data centres have then lost the store, and other VMs can hardly
+ * reach it either.
  */
-const OUTAGE_PATIENCE_MS = 3_500;
-/** A relay that failed is asked last for this long. */
-const RELAY_AVOIDED_MS = 3_000;
+const STORE_OUTAGE_TIMEOUT_MS = 3_500;
+/** A relay that failed is tried last for this long. */
+const FAILED_RELAY_PENALTY_MS = 3_000;
 
-/** What a question brought: an answer, or one of a relay in touch with the store. */
-export type Asked = "silent" | "answered" | "in_touch";
+/** Outcome of a request: no answer, an answer, or an answer of a relay connected to the store. */
+export type QueryOutcome = "silent" | "answered" | "in_touch";
 
 interface Deps {
   readonly memberTable: MemberTable;
@@ -54,93 +54,93 @@
   readonly logger: Logger;
 }
 
-/** The role is taken and left as VMs come and go; nothing is elected. */
+/** Derives the role of this VM from the current members; there is no election. */
 export class FleetRelayRole {
   readonly #deps: Deps;
   readonly #failedAtMs = new Map<EntryId, number>();
   #seenChanges = -1;
-  #meshed = true;
-  #here: Member[] = [];
-  #elsewhere: Member[] = [];
-  /** Kept while members stay: to rank a large fleet in each round costs a VM processor time. */
+  #fullMesh = true;
+  #localRelays: Member[] = [];
+  #remoteRelays: Member[] = [];
+  /** Cached while the members are unchanged: ranking a large fleet in each round costs CPU time. */
   #ranks: ReaderRanks | undefined;
-  /** Other relays by rank, and followers of this one, kept for the same reason. */
+  /** Other relays by rank, and the followers of this relay; cached for the same reason. */
   #byRank: readonly Member[] | undefined;
   #followers: ReadonlySet<EntryId> | undefined;
   #readers: Member[] = [];
-  #readAtMs = -Infinity;
-  #heardAtMs = -Infinity;
-  #answeredAtMs = -Infinity;
-  readonly #lostStoreAtMs = new Map<EntryId, number>();
-  #confirmedAtMs = -Infinity;
+  #lastReaderAtMs = -Infinity;
+  #relayConnectedAtMs = -Infinity;
+  #relayAnsweredAtMs = -Infinity;
+  readonly #storeLostAtMs = new Map<EntryId, number>();
+  #readerConfirmedAtMs = -Infinity;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
   /** Whether this VM is a relay of its data centre. */
-  get held(): boolean {
+  get isRelay(): boolean {
     this.#refresh();
-    return this.#isSelf(this.#here);
+    return this.#isSelf(this.#localRelays);
   }
 
   /** Whether this VM reads the store for others. */
-  get reads(): boolean {
+  get isReader(): boolean {
     this.#refresh();
     return this.#isSelf(this.#readers);
   }
 
-  /** Notes whether the store answers another VM, as that VM tells. */
-  heardStore(vm: EntryId, { lost }: { lost: boolean }): void {
+  /** Records whether a VM reports that it has lost the store. */
+  recordStoreStatus(vm: EntryId, { lost }: { lost: boolean }): void {
     const nowMs = this.#deps.clock.monotonicMs();
-    if (lost) this.#lostStoreAtMs.set(vm, nowMs);
-    else this.#lostStoreAtMs.delete(vm);
+    if (lost) this.#storeLostAtMs.set(vm, nowMs);
+    else this.#storeLostAtMs.delete(vm);
   }
 
-  /** VMs that read the store for all others, in order of rank. */
+  /** VMs that read the store on behalf of all others, in order of rank. */
   get readers(): readonly EntryId[] {
     this.#refresh();
     return this.#readers.map(({ id }) => id);
   }
 
-  /** Whether a VM, this one included, tells that the store does not answer it. */
+  /** Whether a VM (this VM included) reports that the store does not answer it. */
   hasLostStore(vm: EntryId): boolean {
     return vm === this.#deps.memberTable.self.id
       ? this.#deps.storeSync.storeLost
-      : this.#lostStoreAtMs.has(vm);
+      : this.#storeLostAtMs.has(vm);
   }
 
-  /** Readers whose news this VM waits for: none, unless it is a relay of a large fleet. */
+  /** Readers that this VM subscribes to: none, unless it is a relay of a large fleet. */
   readersToFollow(): Member[] {
-    if (!this.held || this.#meshed) return [];
+    if (!this.isRelay || this.#fullMesh) return [];
     const { id: self } = this.#deps.memberTable.self;
     return this.#readers.filter(({ id }) => id !== self);
   }
 
-  /** Whether all VMs talk to each other, without relays between them. */
-  get meshed(): boolean {
+  /** Whether all VMs exchange digests directly, without relays in between. */
+  get isFullMesh(): boolean {
     this.#refresh();
-    return this.#meshed;
+    return this.#fullMesh;
   }
 
-  /** Other relays, of all data centres. */
-  others(): Member[] {
+  /** Relays of all data centres, except this VM. */
+  otherRelays(): Member[] {
     this.#refresh();
-    return [...this.#here, ...this.#elsewhere].filter(({ id }) =>
+    return [...this.#localRelays, ...this.#remoteRelays].filter(({ id }) =>
       id !== this.#deps.memberTable.self.id
     );
   }
 
   /**
-   * Relays in the order in which to ask them: those of this data centre first, and those
-   * that failed lately last. Among equals the order is this VM's own, so that askers spread.
+   * Relays in the order in which to try them: those of this data centre first, and those that
+   * failed recently last. Among equals each VM has its own order, which spreads the load.
    */
-  toAsk(): Member[] {
+  relaysByPreference(): Member[] {
     this.#refresh();
     this.#byRank ??= this.#rankRelays();
     const nowMs = this.#deps.clock.monotonicMs();
     const failed = this.#byRank.filter(({ id }) =>
-      this.#failedLately(id, nowMs)
+      this.#failedRecently(id, nowMs)
     );
     const others = this.#byRank.filter((relay) => !failed.includes(relay));
     return [...others, ...failed];
@@ -149,7 +149,7 @@
   #rankRelays(): Member[] {
     const { memberTable, unitHash } = this.#deps;
     const { self } = memberTable;
-    return this.others()
+    return this.otherRelays()
       .map((relay) => ({
         relay,
         rank: unitHash(`${self.id}/${relay.id}`) +
@@ -159,7 +159,7 @@
       .map(({ relay }) => relay);
   }
 
-  /** Whether a VM of this data centre asks this relay before all others. */
+  /** Whether a VM of this data centre prefers this relay over all others. */
   isFollower({ id }: Member): boolean {
     this.#refresh();
     this.#followers ??= this.#findFollowers();
@@ -169,7 +169,7 @@
   #findFollowers(): Set<EntryId> {
     const { memberTable, unitHash } = this.#deps;
     const { self } = memberTable;
-    const relays = new Set(this.#here.map(({ id }) => id));
+    const relays = new Set(this.#localRelays.map(({ id }) => id));
     const followers = memberTable.others().filter((member) => {
       if (member.data_centre !== self.data_centre) return false;
       if (relays.has(member.id)) return false;
@@ -180,29 +180,29 @@
     return new Set(followers.map(({ id }) => id));
   }
 
-  /** Notes what a relay that was asked has brought. */
-  heard(relay: EntryId, asked: Asked): void {
+  /** Records the outcome of a request to a relay. */
+  recordOutcome(relay: EntryId, outcome: QueryOutcome): void {
     const nowMs = this.#deps.clock.monotonicMs();
-    if (asked !== "silent") this.#answeredAtMs = nowMs;
-    if (asked !== "in_touch") {
+    if (outcome !== "silent") this.#relayAnsweredAtMs = nowMs;
+    if (outcome !== "in_touch") {
       this.#failedAtMs.set(relay, nowMs);
       return;
     }
     this.#failedAtMs.delete(relay);
-    this.#heardAtMs = nowMs;
+    this.#relayConnectedAtMs = nowMs;
   }
 
-  /** Notes that a reader has told of a confirmation of its own at `atMs`. */
-  heardReader(atMs: number): void {
-    this.#confirmedAtMs = Math.max(this.#confirmedAtMs, atMs);
+  /** Records that a reader confirmed the configuration at `atMs`. */
+  recordReaderConfirmation(atMs: number): void {
+    this.#readerConfirmedAtMs = Math.max(this.#readerConfirmedAtMs, atMs);
   }
 
-  /** Whether this VM asks the store itself, for others or since none was heard lately. */
-  get asksStore(): boolean {
+  /** Whether this VM reads the store itself, for others or as a fallback. */
+  get readsStore(): boolean {
     return asksStore(this.#deps.storeSync.access);
   }
 
-  /** Brings up to date how this VM comes to know what the store holds. */
+  /** Updates how this VM obtains the contents of the store. */
   update(): void {
     const { storeSync, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
@@ -212,45 +212,45 @@
     const before = storeSync.access;
     if (access === before) return;
     storeSync.setAccess(access);
-    logger.info("Access to the store changed", {
+    logger.info("Store access mode changed", {
       access,
       before,
-      relay: this.held,
-      relays: this.#here.length,
+      relay: this.isRelay,
+      relays: this.#localRelays.length,
       readers: this.#readers.map(({ id }) => id).join(","),
-      relay_silent_ms: roundedAge(nowMs - this.#heardAtMs),
-      reader_confirmed_ms: roundedAge(nowMs - this.#confirmedAtMs),
+      relay_silent_ms: roundedAge(nowMs - this.#relayConnectedAtMs),
+      reader_confirmed_ms: roundedAge(nowMs - this.#readerConfirmedAtMs),
     });
   }
 
   #accessAt(nowMs: number): StoreAccess {
-    // A VM that has just started knows nobody and reads, but for nobody.
-    if (this.reads && !this.#meshed) this.#readAtMs = nowMs;
-    const lingers = !this.#deps.storeSync.storeLost &&
-      nowMs - this.#readAtMs <= READER_LINGER_MS;
-    if (this.reads || lingers) return "reader";
-    const isHeard = this.held
-      ? nowMs - this.#confirmedAtMs <= READER_PATIENCE_MS
-      : nowMs - this.#heardAtMs <= this.#relayPatienceMs(nowMs);
-    return isHeard ? "listener" : "stand_in";
+    // A VM that has just started knows no other VM: it reads, but only for itself.
+    if (this.isReader && !this.#fullMesh) this.#lastReaderAtMs = nowMs;
+    const inHandover = !this.#deps.storeSync.storeLost &&
+      nowMs - this.#lastReaderAtMs <= READER_HANDOVER_MS;
+    if (this.isReader || inHandover) return "reader";
+    const isCurrent = this.isRelay
+      ? nowMs - this.#readerConfirmedAtMs <= READER_CONFIRMATION_TIMEOUT_MS
+      : nowMs - this.#relayConnectedAtMs <= this.#relayTimeoutMs(nowMs);
+    return isCurrent ? "listener" : "stand_in";
   }
 
-  #relayPatienceMs(nowMs: number): number {
-    const answers = nowMs - this.#answeredAtMs <= RELAY_PATIENCE_MS;
-    return answers ? OUTAGE_PATIENCE_MS : RELAY_PATIENCE_MS;
+  #relayTimeoutMs(nowMs: number): number {
+    const answers = nowMs - this.#relayAnsweredAtMs <= RELAY_TIMEOUT_MS;
+    return answers ? STORE_OUTAGE_TIMEOUT_MS : RELAY_TIMEOUT_MS;
   }
 
   #refreshReaders(nowMs: number): void {
     const { memberTable, storeSync } = this.#deps;
     const { self } = memberTable;
-    this.heardStore(self.id, { lost: storeSync.storeLost });
-    for (const [vm, atMs] of this.#lostStoreAtMs) {
-      if (nowMs - atMs > LOST_STORE_MS) this.#lostStoreAtMs.delete(vm);
+    this.recordStoreStatus(self.id, { lost: storeSync.storeLost });
+    for (const [vm, atMs] of this.#storeLostAtMs) {
+      if (nowMs - atMs > STORE_LOSS_TTL_MS) this.#storeLostAtMs.delete(vm);
     }
     if (this.#ranks === undefined) return;
     this.#readers = storeReaders(
       this.#ranks,
-      (vm) => this.#lostStoreAtMs.has(vm),
+      (vm) => this.#storeLostAtMs.has(vm),
     );
   }
 
@@ -264,9 +264,9 @@
       fleetRelays(members, { dataCentre, unitHash });
     const dataCentres = new Set(members.map((member) => member.data_centre));
     dataCentres.delete(self.data_centre);
-    this.#meshed = isMesh(members);
-    this.#here = relaysOf(self.data_centre);
-    this.#elsewhere = [...dataCentres].flatMap(relaysOf);
+    this.#fullMesh = isMesh(members);
+    this.#localRelays = relaysOf(self.data_centre);
+    this.#remoteRelays = [...dataCentres].flatMap(relaysOf);
     this.#ranks = rankReaders(members, { unitHash });
     this.#byRank = undefined;
     this.#followers = undefined;
@@ -278,13 +278,13 @@
     return relays.some(({ id }) => id === self);
   }
 
-  #failedLately(id: EntryId, nowMs: number): boolean {
+  #failedRecently(id: EntryId, nowMs: number): boolean {
     const atMs = this.#failedAtMs.get(id);
-    return atMs !== undefined && nowMs - atMs < RELAY_AVOIDED_MS;
+    return atMs !== undefined && nowMs - atMs < FAILED_RELAY_PENALTY_MS;
   }
 }
 
-/** Undefined where nothing was ever heard. */
+/** Returns undefined if the event has never occurred. */
 function roundedAge(ageMs: number): number | undefined {
   return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
 }
--- a/src/fleet/fleet_relay_role_test.ts
+++ b/src/fleet/fleet_relay_role_test.ts
@@ -27,15 +27,15 @@
   });
 }
 
-/** A VM too small to be a relay among all the others. */
+/** By default, a VM too small to be a relay among all the others. */
 beforeEach(() => {
   nowMs = 10_000;
   access = "reader";
   storeLost = false;
-  role = roleOf(member(0, 0.1));
+  role = createRole(member(0, 0.1));
 });
 
-function roleOf(self: Member): FleetRelayRole {
+function createRole(self: Member): FleetRelayRole {
   table = new MemberTable(self);
   return new FleetRelayRole({
     memberTable: table,
@@ -60,17 +60,17 @@
 }
 
 describe("relay role", () => {
-  it("should be held by a VM that knows nobody", () => {
-    assert.equal(role.held, true);
+  it("should be relay for a VM that knows no other VM", () => {
+    assert.equal(role.isRelay, true);
     role.update();
     assert.equal(access, "reader");
   });
 
-  it("should follow a relay once it is heard, and ask the store once it is not", () => {
+  it("should follow a relay while it answers, and read the store otherwise", () => {
     joinAll();
     role.update();
     assert.equal(access, "stand_in");
-    role.heard(role.toAsk()[0]?.id as EntryId, "in_touch");
+    role.recordOutcome(role.relaysByPreference()[0]?.id as EntryId, "in_touch");
     role.update();
     assert.equal(access, "listener");
     nowMs += 5_000;
@@ -78,20 +78,20 @@
     assert.equal(access, "stand_in");
   });
 
-  it("should follow two readers as a relay, and stand in once neither confirms", () => {
-    // Large enough to be a relay of its data centre, behind larger ones that read.
-    role = roleOf(member(0, 1.2));
+  it("should follow two readers as a relay, and read the store once neither confirms", () => {
+    // Large enough to be a relay of its data centre; larger VMs are the readers.
+    role = createRole(member(0, 1.2));
     const larger = [1, 2, 3, 4].map((at) => member(at, 1.3));
     joinAll();
     table.merge(larger.map((vm) => ({ ...vm, incarnation: 2 })), nowMs);
-    assert.equal(role.held, false);
+    assert.equal(role.isRelay, false);
     table.merge([{ ...member(4), incarnation: 3 }], nowMs);
-    assert.equal(role.held, true);
-    assert.equal(role.reads, false);
+    assert.equal(role.isRelay, true);
+    assert.equal(role.isReader, false);
     assert.equal(role.readersToFollow().length, 2);
     role.update();
     assert.equal(access, "stand_in");
-    role.heardReader(nowMs - 1_000);
+    role.recordReaderConfirmation(nowMs - 1_000);
     role.update();
     assert.equal(access, "listener");
     nowMs += 1_500;
@@ -99,50 +99,50 @@
     assert.equal(access, "stand_in");
   });
 
-  it("should ask relays of its own data centre first, and failed ones last", () => {
+  it("should try relays of its own data centre first, and failed ones last", () => {
     joinAll();
-    const [first, second, third] = role.toAsk();
+    const [first, second, third] = role.relaysByPreference();
     assert.equal(first?.data_centre, "north");
     assert.equal(second?.data_centre, "north");
     assert.equal(third?.data_centre, "south");
-    role.heard(first?.id as EntryId, "silent");
-    role.heard(second?.id as EntryId, "silent");
-    assert.equal(role.toAsk()[0]?.data_centre, "south");
+    role.recordOutcome(first?.id as EntryId, "silent");
+    role.recordOutcome(second?.id as EntryId, "silent");
+    assert.equal(role.relaysByPreference()[0]?.data_centre, "south");
     nowMs += 10_000;
-    assert.equal(role.toAsk()[0]?.id, first?.id);
+    assert.equal(role.relaysByPreference()[0]?.id, first?.id);
   });
 
-  it("should leave reading to others while the store does not answer", () => {
-    role = roleOf(member(0, 1.3));
+  it("should leave reading to other VMs while the store does not answer", () => {
+    role = createRole(member(0, 1.3));
     joinAll();
     const largest = [1, 2, 3].map((at) => ({
       ...member(at, 1.3),
       incarnation: 2,
     }));
     table.merge(largest, nowMs);
-    assert.equal(role.reads, true);
+    assert.equal(role.isReader, true);
     const others = role.readersToFollow().map(({ id }) => id);
     storeLost = true;
     role.update();
     assert.equal(access, "stand_in");
     const readers = role.readersToFollow().map(({ id }) => id);
     assert.equal(readers.length, others.length + 1);
-    role.heardReader(nowMs);
+    role.recordReaderConfirmation(nowMs);
     role.update();
     assert.equal(access, "listener");
-    // The others know at once that it is served again, and give way to it.
+    // The other VMs learn immediately that the store answers this VM again, and return the role to it.
     storeLost = false;
     nowMs += 400;
     role.update();
     assert.equal(access, "reader");
   });
 
-  it("should be patient with relays that answer, but are out of touch themselves", () => {
+  it("should wait longer for relays that answer but are disconnected from the store", () => {
     joinAll();
-    const [relay] = role.toAsk();
-    role.heard(relay?.id as EntryId, "in_touch");
+    const [relay] = role.relaysByPreference();
+    role.recordOutcome(relay?.id as EntryId, "in_touch");
     nowMs += 2_000;
-    role.heard(relay?.id as EntryId, "answered");
+    role.recordOutcome(relay?.id as EntryId, "answered");
     role.update();
     assert.equal(access, "listener");
     nowMs += 1_600;
@@ -150,8 +150,8 @@
     assert.equal(access, "stand_in");
   });
 
-  it("should read on for a while once others read, unless the store is lost", () => {
-    role = roleOf(member(0, 1.3));
+  it("should keep reading for a while after other VMs become readers, unless the store is lost", () => {
+    role = createRole(member(0, 1.3));
     joinAll();
     role.update();
     assert.equal(access, "reader");
@@ -160,7 +160,7 @@
       incarnation: 2,
     }));
     table.merge(larger, nowMs);
-    assert.equal(role.reads, false);
+    assert.equal(role.isReader, false);
     role.update();
     assert.equal(access, "reader");
     nowMs += 2_500;
--- a/src/fleet/limit_news.ts
+++ b/src/fleet/limit_gossip.ts
@@ -1,4 +1,4 @@
-/** What VMs tell each other of limits that servers have named. */
+/** Exchanges the rate limits that servers advertise between VMs. */
 
 import type { EntryId } from "../core/ids.ts";
 import type {
@@ -12,8 +12,8 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 
-/** Part of a digest that tells of limits. */
-export type ToldLimits = VmDigest["limits"];
+/** Rate limit part of a digest. */
+export type LimitDigest = VmDigest["limits"];
 
 interface Deps {
   readonly serverLimits: ServerLimits;
@@ -21,26 +21,26 @@
   readonly logger: Logger;
 }
 
-interface Heard {
+interface ReceivedNotice {
   readonly notice: LimitNotice;
   readonly from: EntryId;
 }
 
-/** Takes in limits that other VMs have heard, and tells what is known here. */
-export class LimitNews {
+/** Merges rate limits received by other VMs, and lists those known here. */
+export class LimitGossip {
   readonly #deps: Deps;
-  readonly #log: BurstLog<Heard>;
+  readonly #log: BurstLog<ReceivedNotice>;
 
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#log = new BurstLog({
-      one: (heard) => this.#logOne(heard),
-      many: (heard) => this.#logMany(heard),
+      one: (received) => this.#logOne(received),
+      many: (received) => this.#logMany(received),
     });
   }
 
-  /** What others are told: the newest limits, ended ones included. */
-  news(): ToldLimits {
+  /** Latest rate limits to send to other VMs, including ones that ended. */
+  limitsToAdvertise(): LimitDigest {
     const { serverLimits, clock } = this.#deps;
     if (serverLimits.isEmpty) return [];
     const nowMs = clock.monotonicMs();
@@ -55,24 +55,27 @@
       }));
   }
 
-  /** Takes in what another VM has told. */
-  hear(told: ToldLimits, from: EntryId): void {
+  /** Merges the rate limits that another VM has sent. */
+  receive(limits: LimitDigest, from: EntryId): void {
     const { serverLimits, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
-    for (const { instance, bornMs, limitPerS, ageMs } of told) {
+    for (const { instance, bornMs, limitPerS, ageMs } of limits) {
       const life = { instance, bornMs };
       const notice = { life, limitPerS, atMs: nowMs - ageMs };
       if (serverLimits.hear(notice)) this.#log.note([{ notice, from }]);
     }
   }
 
-  #logOne({ notice: { life, limitPerS }, from }: Heard): void {
+  #logOne({ notice: { life, limitPerS }, from }: ReceivedNotice): void {
     const { logger } = this.#deps;
     const server = lifeOf(life);
     if (limitPerS === undefined) {
-      logger.info("Server names no limit any more", { server, told_by: from });
+      logger.info("Server no longer advertises a rate limit", {
+        server,
+        told_by: from,
+      });
     } else {
-      logger.info("Server names a limit", {
+      logger.info("Server advertises a rate limit", {
         server,
         limit_per_s: limitPerS,
         told_by: from,
@@ -80,10 +83,10 @@
     }
   }
 
-  #logMany(heard: readonly Heard[]): void {
-    this.#deps.logger.info("Many servers name other limits", {
-      changes: heard.length,
-      limits: heard.map(({ notice: { life, limitPerS } }) =>
+  #logMany(received: readonly ReceivedNotice[]): void {
+    this.#deps.logger.info("Many servers changed their rate limits", {
+      changes: received.length,
+      limits: received.map(({ notice: { life, limitPerS } }) =>
         `${lifeOf(life)} ${limitPerS ?? "none"}`
       ).join(","),
     });
--- a/src/fleet/place_lender.ts
+++ b/src/fleet/permit_granter.ts
@@ -1,4 +1,4 @@
-/** Lends other VMs places at servers that take only so much from all VMs together. */
+/** Grants other VMs permits for servers with a rate limit that all VMs share. */
 
 import type { LimitAdmission } from "../core/routing/limit_admission.ts";
 import type { PlaceAnswer, PlaceQuestion } from "../protocol/place_schema.ts";
@@ -7,16 +7,16 @@
   readonly limitAdmission: LimitAdmission;
 }
 
-/** Answers VMs that have work for a server of which they own nothing, or not enough. */
-export class PlaceLender {
+/** Answers VMs whose own share of a server's rate limit is missing or used up. */
+export class PermitGranter {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Lends a place out of what this VM may send, if it has one to spare. */
-  lend({ instance, bornMs }: PlaceQuestion): PlaceAnswer {
+  /** Grants a permit from this VM's share, if one is available. */
+  grant({ instance, bornMs }: PlaceQuestion): PlaceAnswer {
     return this.#deps.limitAdmission.tryGrant({ instance, bornMs });
   }
 }
--- a/src/fleet/store_feed.ts
+++ b/src/fleet/store_feed.ts
@@ -1,4 +1,4 @@
-/** Tells waiting VMs at once what this VM has read from the platform's store. */
+/** Long polling for changes that this VM reads from the platform's store. */
 
 import {
   type FeedAnswer,
@@ -10,10 +10,10 @@
 import type { StoreSync } from "../store/store_sync.ts";
 
 /**
- * Time for which news are gathered before they are told, in milliseconds: a change often
- * comes as several events. Small beside the seconds in which changes must be in force.
+ * Changes are batched for this long before they are sent, since one change often arrives as
+ * several events. Small compared to the seconds within which changes must take effect.
  */
-const GATHER_MS = 25;
+const BATCH_MS = 25;
 
 interface Deps {
   readonly storeSync: StoreSync;
@@ -21,64 +21,64 @@
   readonly clock: Clock;
 }
 
-/** Answers what relays ask of a VM that reads the store. */
-export interface StoreNews {
+/** Answers the feed requests of relays on a VM that reads the store. */
+export interface StoreFeedHandler {
   next(question: FeedQuestion): Promise<FeedAnswer>;
 }
 
-/** Holds questions until there is news, so that news go on without a round of questions. */
-export class StoreFeed implements StoreNews {
+/** Holds requests until there are changes, so that changes are delivered without polling delay. */
+export class StoreFeed implements StoreFeedHandler {
   readonly #deps: Deps;
-  readonly #waiting = new Set<() => void>();
-  #gathering: NodeJS.Timeout | undefined;
+  readonly #heldRequests = new Set<() => void>();
+  #batchTimer: NodeJS.Timeout | undefined;
 
   constructor(deps: Deps) {
     this.#deps = deps;
-    deps.storeSync.onNews(() => this.#gather());
+    deps.storeSync.onNews(() => this.#scheduleFlush());
   }
 
-  /** Answers at once where something is new already, else with the next news. */
+  /** Answers immediately if the requester is out of date, otherwise on the next change. */
   async next({ known, waitMs }: FeedQuestion): Promise<FeedAnswer> {
     const { storeSync, routingFollower, clock } = this.#deps;
-    const askedMs = clock.monotonicMs();
-    if (!this.#knowsMoreThan(known)) await this.#news(waitMs);
+    const receivedMs = clock.monotonicMs();
+    if (!this.#isNewerThan(known)) await this.#nextChange(waitMs);
     const { version, ageMs } = routingFollower.confirmation;
     return {
       store: storeSync.tell(known),
       configurationVersion: version,
       confirmedAgeMs: toldAgeMs(ageMs),
-      heldMs: Math.floor(clock.monotonicMs() - askedMs),
+      heldMs: Math.floor(clock.monotonicMs() - receivedMs),
     };
   }
 
-  /** Answers all questions, as when this VM stops. */
+  /** Answers all held requests, e.g. on shutdown. */
   flush(): void {
-    clearTimeout(this.#gathering);
-    this.#gathering = undefined;
-    for (const answer of [...this.#waiting]) answer();
+    clearTimeout(this.#batchTimer);
+    this.#batchTimer = undefined;
+    for (const answer of [...this.#heldRequests]) answer();
   }
 
-  #knowsMoreThan(known: FeedQuestion["known"]): boolean {
+  #isNewerThan(known: FeedQuestion["known"]): boolean {
     return this.#deps.storeSync.known().some(({ kind, revision }) => {
-      const asker = known.find((told) => told.kind === kind);
-      return asker === undefined || asker.revision < revision;
+      const theirs = known.find((entry) => entry.kind === kind);
+      return theirs === undefined || theirs.revision < revision;
     });
   }
 
-  #news(waitMs: number): Promise<void> {
+  #nextChange(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const answer = () => {
         clearTimeout(timer);
-        this.#waiting.delete(answer);
+        this.#heldRequests.delete(answer);
         resolve();
       };
       const timer = setTimeout(answer, waitMs);
-      this.#waiting.add(answer);
+      this.#heldRequests.add(answer);
     });
   }
 
-  #gather(): void {
-    if (this.#waiting.size === 0) return;
-    this.#gathering ??= setTimeout(() => this.flush(), GATHER_MS);
+  #scheduleFlush(): void {
+    if (this.#heldRequests.size === 0) return;
+    this.#batchTimer ??= setTimeout(() => this.flush(), BATCH_MS);
   }
 }
--- a/src/fleet/store_feed_test.ts
+++ b/src/fleet/store_feed_test.ts
@@ -6,11 +6,11 @@
 import { StoreFeed } from "./store_feed.ts";
 
 const KIND = "servers";
-/** Longer than a test may take: an answer within the test has not waited for its end. */
+/** Longer than a test may take, so that an answer within the test did not wait this long. */
 const LONG_WAIT_MS = 10_000;
 
 let revision: number;
-let news: () => void;
+let notifyChange: () => void;
 let nowMs: number;
 let feed: StoreFeed;
 
@@ -31,7 +31,7 @@
         known: known(),
         changes: [],
       }),
-      onNews: (listener: () => void) => news = listener,
+      onNews: (listener: () => void) => notifyChange = listener,
     } as unknown as StoreSync,
     routingFollower: {
       confirmation: { version: 4, ageMs: 20 },
@@ -40,31 +40,31 @@
   });
 });
 
-describe("feed of the store", () => {
-  it("should answer at once a VM that knows less", async () => {
+describe("store feed", () => {
+  it("should immediately answer a VM that is out of date", async () => {
     const asked = [{ kind: KIND, revision: 5 }];
     const answer = await feed.next({ known: asked, waitMs: LONG_WAIT_MS });
     assert.deepEqual(answer.store.known, known());
     assert.equal(answer.heldMs, 0);
   });
 
-  it("should answer a VM that knows all with the next news, and say how long it waited", async () => {
+  it("should answer an up-to-date VM on the next change, with the time that it was held", async () => {
     const asked = feed.next({ known: known(), waitMs: LONG_WAIT_MS });
     nowMs += 400;
     revision = 8;
-    news();
+    notifyChange();
     const answer = await asked;
     assert.deepEqual(answer.store.known, [{ kind: KIND, revision: 8 }]);
     assert.equal(answer.heldMs, 400);
     assert.equal(answer.confirmedAgeMs, 20);
   });
 
-  it("should answer without news once the wait is over", async () => {
+  it("should answer without changes after the wait time", async () => {
     const answer = await feed.next({ known: known(), waitMs: 1 });
     assert.deepEqual(answer.store.known, known());
   });
 
-  it("should answer all that wait when the VM stops", async () => {
+  it("should answer all held requests when the VM stops", async () => {
     const asked = feed.next({ known: known(), waitMs: LONG_WAIT_MS });
     feed.flush();
     assert.equal((await asked).configurationVersion, 4);
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -1,4 +1,4 @@
-/** Waits at the VMs that read the platform's store for what they learn from it. */
+/** Subscribes to the VMs that read the platform's store, to receive changes from them. */
 
 import type { EntryId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -13,20 +13,21 @@
 import type { VmClients } from "./vm_clients.ts";
 
 /**
- * How long a reader holds a question without news. One of the readers confirms the
- * configuration every 1.4 to 1.7 s and tells; what the others hold meanwhile should not
- * come back with nothing. That a reader is gone shows by confirmations, not by this.
+ * How long a reader holds a request without changes. One of the readers confirms the
+ * configuration every 1.4 to 1.7 s and notifies its subscribers; the requests held by the other
+ * readers should not time out in the meantime. The loss of a reader is detected by missing
+ * confirmations, not by this timeout.
  */
-const WAIT_MS = 4_000;
-/** Wait for an answer beyond that; VMs stand a few milliseconds apart. */
-const GRACE_MS = 700;
-/** Pause after a reader did not answer. */
+const HOLD_MS = 4_000;
+/** Additional wait for an answer; round trips between VMs take a few milliseconds. */
+const RESPONSE_GRACE_MS = 700;
+/** Pause before retrying a reader that did not answer. */
 const RETRY_PAUSE_MS = 300;
 /**
- * Pause after an answer. A reader of another release may know kinds that are not followed
- * here, and would answer each question at once.
+ * Pause after an answer. A reader that runs another release may know kinds that are not followed
+ * here, and would then answer each request immediately.
  */
-const ASK_PAUSE_MS = 50;
+const REQUEST_PAUSE_MS = 50;
 
 interface Deps {
   readonly relayRole: FleetRelayRole;
@@ -38,41 +39,41 @@
   readonly logger: Logger;
 }
 
-/** Keeps one question waiting at each reader, while this VM is a relay. */
+/** Keeps one long-polling request open at each reader while this VM is a relay. */
 export class StoreSubscriber {
   readonly #deps: Deps;
-  readonly #followed = new Set<EntryId>();
+  readonly #subscribed = new Set<EntryId>();
   #stopped = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Begins to follow readers that are new. */
+  /** Subscribes to new readers. */
   update(): void {
     for (const reader of this.#deps.relayRole.readersToFollow()) {
-      if (!this.#followed.has(reader.id)) void this.#follow(reader);
+      if (!this.#subscribed.has(reader.id)) void this.#subscribe(reader);
     }
   }
 
-  /** Asks nobody any more. */
+  /** Ends all subscriptions after their current request. */
   stop(): void {
     this.#stopped = true;
   }
 
-  async #follow(reader: Member): Promise<void> {
-    this.#followed.add(reader.id);
-    this.#deps.logger.info("Reader of the store is followed", {
+  async #subscribe(reader: Member): Promise<void> {
+    this.#subscribed.add(reader.id);
+    this.#deps.logger.info("Subscribed to a store reader", {
       reader: reader.id,
     });
-    // The first answer tells at once how old the reader's last confirmation is.
+    // The first request does not wait, so it yields the age of the reader's last confirmation.
     let waitMs = 0;
     while (!this.#stopped && this.#isReader(reader)) {
-      const answered = await this.#ask(reader, waitMs);
-      await pause(answered ? ASK_PAUSE_MS : RETRY_PAUSE_MS);
-      waitMs = answered ? WAIT_MS : 0;
+      const answered = await this.#poll(reader, waitMs);
+      await pause(answered ? REQUEST_PAUSE_MS : RETRY_PAUSE_MS);
+      waitMs = answered ? HOLD_MS : 0;
     }
-    this.#followed.delete(reader.id);
+    this.#subscribed.delete(reader.id);
   }
 
   #isReader({ id }: Member): boolean {
@@ -81,29 +82,29 @@
     );
   }
 
-  /** Returns whether the reader answered. */
-  async #ask({ id, peers }: Member, waitMs: number): Promise<boolean> {
+  /** Sends one feed request; returns whether the reader answered. */
+  async #poll({ id, peers }: Member, waitMs: number): Promise<boolean> {
     const { storeSync, relayRole, vmClients, clock, trustClock } = this.#deps;
-    const question = { known: storeSync.known(), waitMs };
+    const request = { known: storeSync.known(), waitMs };
     const askedMs = clock.monotonicMs();
-    const datedMs = trustClock.nowMs();
+    const askedTrustMs = trustClock.nowMs();
     const answer = await vmClients.call(peers, {
-      timeoutMs: waitMs + GRACE_MS,
-      ask: async (client, signal) =>
-        feedAnswerSchema.parse(await client.feed.mutate(question, { signal })),
+      timeoutMs: waitMs + RESPONSE_GRACE_MS,
+      invoke: async (client, signal) =>
+        feedAnswerSchema.parse(await client.feed.mutate(request, { signal })),
     });
     if (!answer.ok) return false;
     const { store, configurationVersion, confirmedAgeMs, heldMs } =
       answer.value;
     storeSync.hear(store);
-    // The answer was made no earlier than this, however long it was on its way.
+    // A lower bound of the confirmation's time, independent of how long the answer was in transit.
     const sinceAskedMs = heldMs - confirmedAgeMs;
     this.#deps.routingFollower.hearConfirmation({
       version: configurationVersion,
-      atMs: datedMs + sinceAskedMs,
+      atMs: askedTrustMs + sinceAskedMs,
     });
-    if (store.reads) relayRole.heardReader(askedMs + sinceAskedMs);
-    relayRole.heardStore(id, { lost: store.lost });
+    if (store.reads) relayRole.recordReaderConfirmation(askedMs + sinceAskedMs);
+    relayRole.recordStoreStatus(id, { lost: store.lost });
     return true;
   }
 }
--- a/src/fleet/store_subscriber_test.ts
+++ b/src/fleet/store_subscriber_test.ts
@@ -21,49 +21,50 @@
   heldMs: 900,
 };
 
-/** Answers to the questions to come; without one, the reader is silent. */
+/** Answers to the next requests; without one, the reader does not answer. */
 let answers: FeedAnswer[];
-let asked: FeedQuestion[];
+let requested: FeedQuestion[];
 let confirmed: { version: number; atMs: number }[];
-let heardReader: number[];
+let readerConfirmations: number[];
 let lost: boolean[];
 let readers: Member[];
 let subscriber: StoreSubscriber;
 
 beforeEach(() => {
   answers = [];
-  asked = [];
+  requested = [];
   confirmed = [];
-  heardReader = [];
+  readerConfirmations = [];
   lost = [];
   readers = [READER];
   const feed = {
     mutate: (question: FeedQuestion) => {
-      asked.push(question);
+      requested.push(question);
       return Promise.resolve(answers.shift());
     },
   };
   subscriber = new StoreSubscriber({
     relayRole: {
       readersToFollow: () => readers,
-      heardReader: (atMs: number) => heardReader.push(atMs),
-      heardStore: (_vm: EntryId, told: { lost: boolean }) =>
-        lost.push(told.lost),
+      recordReaderConfirmation: (atMs: number) =>
+        readerConfirmations.push(atMs),
+      recordStoreStatus: (_vm: EntryId, status: { lost: boolean }) =>
+        lost.push(status.lost),
     } as unknown as FleetRelayRole,
     storeSync: { known: () => [], hear: () => true } as unknown as StoreSync,
     routingFollower: {
-      hearConfirmation: (told: { version: number; atMs: number }) =>
-        confirmed.push(told),
+      hearConfirmation: (confirmation: { version: number; atMs: number }) =>
+        confirmed.push(confirmation),
     } as unknown as RoutingFollower,
     vmClients: {
       call: async (
         _address: string,
-        { ask }: {
-          ask: (client: unknown, signal: unknown) => Promise<unknown>;
+        { invoke }: {
+          invoke: (client: unknown, signal: unknown) => Promise<unknown>;
         },
       ) => {
         try {
-          return ok(await ask({ feed }, undefined));
+          return ok(await invoke({ feed }, undefined));
         } catch (err) {
           return fail({ tag: "unreachable", reason: String(err) });
         }
@@ -77,47 +78,47 @@
 
 afterEach(() => subscriber.stop());
 
-/** Lets the subscriber ask until all answers are used up and it was met with silence. */
-async function untilSilent(): Promise<void> {
-  const questions = answers.length + 1;
+/** Runs the subscriber until all answers are used and one request stays unanswered. */
+async function untilUnanswered(): Promise<void> {
+  const requests = answers.length + 1;
   subscriber.update();
-  while (asked.length < questions) {
+  while (requested.length < requests) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
   readers = [];
 }
 
-describe("subscriber of the store's news", () => {
-  it("should ask at once what a reader knows, and then wait for news", async () => {
+describe("store subscriber", () => {
+  it("should first request the current state, and then wait for changes", async () => {
     answers = [ANSWER, ANSWER];
-    await untilSilent();
-    const [first, ...later] = asked.map(({ waitMs }) => waitMs);
+    await untilUnanswered();
+    const [first, ...later] = requested.map(({ waitMs }) => waitMs);
     assert.equal(first, 0);
     assert.ok(later.every((waitMs) => waitMs > 1_000));
   });
 
-  it("should date a confirmation by how long the question was held", async () => {
+  it("should derive the confirmation time from how long the request was held", async () => {
     answers = [ANSWER];
-    await untilSilent();
+    await untilUnanswered();
     const atMs = 5_000 + 900 - 20;
     assert.deepEqual(confirmed, [{ version: 3, atMs }]);
-    assert.deepEqual(heardReader, [atMs]);
+    assert.deepEqual(readerConfirmations, [atMs]);
   });
 
-  it("should not take a VM for a reader that does not read, or whose store is lost", async () => {
+  it("should not accept confirmations of a VM that does not read or has lost the store", async () => {
     const store = { ...ANSWER.store, reads: false, lost: true };
     answers = [{ ...ANSWER, store }];
-    await untilSilent();
-    assert.deepEqual(heardReader, []);
+    await untilUnanswered();
+    assert.deepEqual(readerConfirmations, []);
     assert.deepEqual(lost, [true]);
   });
 
-  it("should keep one question at a reader, however often it is told of it", async () => {
+  it("should keep one open request per reader, however often it is updated", async () => {
     answers = [ANSWER];
-    const told = untilSilent();
+    const done = untilUnanswered();
     subscriber.update();
     subscriber.update();
-    await told;
-    assert.equal(asked.length, 2);
+    await done;
+    assert.equal(requested.length, 2);
   });
 });
--- a/src/gateway/attempt_sender.ts
+++ b/src/gateway/attempt_sender.ts
@@ -14,7 +14,7 @@
 import type { ServerLoads } from "../core/servers/server_loads.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
 import type { SilenceReason } from "../core/servers/silence.ts";
-import type { PlaceBorrower } from "../fleet/place_borrower.ts";
+import type { PermitBorrower } from "../fleet/permit_borrower.ts";
 import { encodeBackendRequest } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
@@ -48,7 +48,7 @@
 export interface AttemptSenderDeps {
   readonly serverSelector: ServerSelector;
   readonly serverGate: ServerGate;
-  readonly placeBorrower: PlaceBorrower;
+  readonly permitBorrower: PermitBorrower;
   readonly suspectPlaces: SuspectPlaces;
   readonly backendConnections: BackendConnections;
   readonly attemptObserver: AttemptObserver;
@@ -201,11 +201,13 @@
     admitted: Admitted,
     { allowTried }: ServerChoiceOptions,
   ): Promise<boolean> {
-    const { serverSelector, placeBorrower } = this.#deps;
+    const { serverSelector, permitBorrower } = this.#deps;
     const { model } = this.#request.models;
     const tried = allowTried ? NO_INSTANCES : this.#tried;
     const selection = this.#selection(admitted, { tried, model });
-    return placeBorrower.borrow(serverSelector.serversNeedingPermit(selection));
+    return permitBorrower.borrow(
+      serverSelector.serversNeedingPermit(selection),
+    );
   }
 
   /**
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -6,7 +6,7 @@
 import type { AccountId, ServerLife, ServiceId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
 import { lifeOf, type ServerRecord } from "../core/servers/server_record.ts";
-import type { CrashNews } from "../fleet/crash_news.ts";
+import type { CrashGossip } from "../fleet/crash_gossip.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
@@ -17,7 +17,7 @@
   readonly serverEndCheck: ServerEndCheck;
   readonly serverDirectory: ServerDirectory;
   readonly crashBook: CrashBook;
-  readonly crashNews: CrashNews;
+  readonly crashGossip: CrashGossip;
   readonly gatewayMetrics: GatewayMetrics;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -97,7 +97,7 @@
     gatewayMetrics.serverExits.inc({ service: watched.service });
     const crash = this.#crashOf(watched, { broken, endedMs });
     this.#log(crash, { watched, broken, suspected });
-    if (suspected) this.#deps.crashNews.seen(crash);
+    if (suspected) this.#deps.crashGossip.recordLocal(crash);
   }
 
   #crashOf(
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -35,14 +35,14 @@
 import { ServerLimits } from "../core/servers/server_limits.ts";
 import { ServerRests } from "../core/servers/server_rests.ts";
 import { UnackedAttempts } from "../core/servers/unacked_attempts.ts";
-import { CrashNews } from "../fleet/crash_news.ts";
+import { CrashGossip } from "../fleet/crash_gossip.ts";
 import { DigestExchanger } from "../fleet/digest_exchanger.ts";
-import { DigestKeeper } from "../fleet/digest_keeper.ts";
-import { LimitNews } from "../fleet/limit_news.ts";
+import { DigestService } from "../fleet/digest_service.ts";
+import { LimitGossip } from "../fleet/limit_gossip.ts";
 import { FleetRelayRole } from "../fleet/fleet_relay_role.ts";
 import { DigestServer } from "../fleet/digest_server.ts";
-import { PlaceBorrower } from "../fleet/place_borrower.ts";
-import { PlaceLender } from "../fleet/place_lender.ts";
+import { PermitBorrower } from "../fleet/permit_borrower.ts";
+import { PermitGranter } from "../fleet/permit_granter.ts";
 import { StoreFeed } from "../fleet/store_feed.ts";
 import { StoreSubscriber } from "../fleet/store_subscriber.ts";
 import { VmClients } from "../fleet/vm_clients.ts";
@@ -265,11 +265,11 @@
     trialController: singleton(TrialController),
     storeSync: singleton(StoreSync),
     relayRole: singleton(FleetRelayRole),
-    digestKeeper: singleton(DigestKeeper),
-    crashNews: singleton(CrashNews),
-    limitNews: singleton(LimitNews),
-    placeLender: singleton(PlaceLender),
-    placeBorrower: singleton(PlaceBorrower),
+    digestService: singleton(DigestService),
+    crashGossip: singleton(CrashGossip),
+    limitGossip: singleton(LimitGossip),
+    permitGranter: singleton(PermitGranter),
+    permitBorrower: singleton(PermitBorrower),
     digestServer: singleton(DigestServer),
     vmClients: asFunction(() => new VmClients()).singleton(),
     storeFeed: singleton(StoreFeed),
--- a/src/gateway/request_crashes_test.ts
+++ b/src/gateway/request_crashes_test.ts
@@ -11,7 +11,7 @@
 import { CrashBook } from "../core/crashes/crash_book.ts";
 import type { ServiceId } from "../core/ids.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
-import { CrashNews } from "../fleet/crash_news.ts";
+import { CrashGossip } from "../fleet/crash_gossip.ts";
 import { SilentLogger } from "../runtime/logger.ts";
 import { CrashWatch } from "./crash_watch.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
@@ -49,7 +49,7 @@
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
     crashBook: book,
-    crashNews: new CrashNews({ crashBook: book, clock, logger }),
+    crashGossip: new CrashGossip({ crashBook: book, clock, logger }),
     gatewayMetrics: new GatewayMetrics(),
     clock,
     logger,
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -1,4 +1,4 @@
-/** The way of a tRPC call to another VM: one HTTP request by undici. */
+/** tRPC link that sends each call to another VM as one HTTP request by undici. */
 
 import { Buffer } from "node:buffer";
 import { TRPCClientError, type TRPCLink } from "@trpc/client";
@@ -11,21 +11,21 @@
   unpackJson,
 } from "../runtime/packed_json.ts";
 
-/** How a link connects. */
+/** Connection options of a link. */
 export interface PeerLinkOptions {
   /** `http://IP:port`. */
   readonly url: string;
-  /** Headers of every call. */
+  /** Headers sent with every call. */
   readonly headers: Readonly<Record<string, string>>;
   readonly dispatcher: Dispatcher;
-  /** Whether the other side reads compressed messages, and may answer so. */
+  /** Whether the server accepts compressed requests and may send compressed answers. */
   readonly packed: boolean;
 }
 
-/** Longest answer that is read, in bytes. */
+/** Maximum decompressed size of an answer. */
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
-/** A call, as far as the link needs it. */
+/** The fields of a tRPC operation that the link uses. */
 interface PeerCall {
   readonly type: string;
   readonly path: string;
@@ -34,8 +34,8 @@
 }
 
 /**
- * Does as tRPC's own link for HTTP, without the web's `Request` and `FormData`, which slow a
- * start and would be made anew by each call.
+ * Replaces tRPC's own HTTP link, without the web `Request` and `FormData`: these slow down the
+ * start of the process, and the link would create new ones for each call.
  */
 export function peerLink<Router extends AnyTRPCRouter>(
   options: PeerLinkOptions,
@@ -76,14 +76,14 @@
     dispatcher,
   });
   const envelope = unpackJson(Buffer.from(await res.body.arrayBuffer()), {
-    encoding: one(res.headers["content-encoding"]),
+    encoding: firstValue(res.headers["content-encoding"]),
     limitBytes: MAX_ANSWER_BYTES,
   }) as { result?: { data?: unknown } };
-  // An error's envelope becomes a typed error of tRPC.
+  // The caller converts an error envelope to a typed tRPC error.
   if (envelope.result === undefined) throw envelope;
   return envelope.result.data;
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
--- a/src/peers/peer_router.ts
+++ b/src/peers/peer_router.ts
@@ -1,4 +1,4 @@
-/** What entry VMs may ask of each other, by tRPC. */
+/** tRPC procedures that entry VMs offer each other. */
 
 import { initTRPC, TRPCError } from "@trpc/server";
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
@@ -20,7 +20,7 @@
 import type { VmViewHolder } from "./vm_view_holder.ts";
 import type { Clock } from "../runtime/clock.ts";
 
-/** What the procedures work on. */
+/** Dependencies of the procedures. */
 export interface PeerRouterDeps {
   readonly memberTable: MemberTable;
   readonly configurationStore: ConfigurationStore;
@@ -28,7 +28,7 @@
   readonly freshness: Freshness;
   readonly platformContact: PlatformContact;
   readonly clock: Clock;
-  /** Probes another entry VM for one that cannot reach it. */
+  /** Probes another entry VM on behalf of one that cannot reach it. */
   readonly probeFor: (target: string) => Promise<boolean>;
 }
 
@@ -41,12 +41,12 @@
   readonly is_witness: boolean;
 }
 
-/** Stands for "never", which JSON cannot say. */
+/** Stands for "never": JSON cannot represent infinity. */
 const MAX_AGE_MS = 1_000_000_000;
 
 const trpc = initTRPC.create();
 
-/** Returns the router of one entry. */
+/** Creates the router of one entry VM. */
 export function createPeerRouter(deps: PeerRouterDeps) {
   const { memberTable, configurationStore, freshness, clock } = deps;
   const confirmedAgeMs = () =>
@@ -97,5 +97,5 @@
   });
 }
 
-/** Type of the router, from which the client's types follow. */
+/** Router type, from which the client types are inferred. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>;
--- a/src/peers/peer_server.ts
+++ b/src/peers/peer_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that other entry VMs use; it asks for the shared secret first. */
+/** HTTP server for the calls of other entry VMs, authenticated by a shared secret. */
 
 import {
   createServer,
@@ -25,7 +25,7 @@
   readonly peerMeter: SocketMeter;
 }
 
-/** Serves other entry VMs. */
+/** Serves calls of other entry VMs that send the shared secret. */
 export class PeerServer {
   readonly #server: Server;
   readonly #address: string;
@@ -39,14 +39,14 @@
       maxBodySize: MAX_BODY_BYTES,
     });
     this.#server = createServer((req, res) => {
-      if (this.#knowsSecret(req)) handle(req, res);
-      else refuse(res);
+      if (this.#hasValidSecret(req)) handle(req, res);
+      else sendUnauthorized(res);
     });
     this.#server.on("connection", (socket) => deps.peerMeter.track(socket));
     this.#server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   }
 
-  /** Starts to listen; returns the address in use. */
+  /** Starts listening; returns the bound address. */
   listen(): Promise<string> {
     const { host, port } = parseAddress(this.#address);
     return new Promise((resolve, reject) => {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.#server.close(() => resolve());
@@ -67,17 +67,17 @@
     });
   }
 
-  /** Hashes are compared, since they are of equal length whatever was sent. */
-  #knowsSecret(req: IncomingMessage): boolean {
+  /** Compares hashes, since `timingSafeEqual` requires buffers of equal length. */
+  #hasValidSecret(req: IncomingMessage): boolean {
     const header = req.headers.authorization ?? "";
     const hash = Buffer.from(sha256(header.replace(/^Bearer /, "")));
     return timingSafeEqual(hash, this.#secretHash);
   }
 }
 
-function refuse(res: ServerResponse): void {
+function sendUnauthorized(res: ServerResponse): void {
   res.writeHead(401, { "content-type": "application/json" });
   res.end(
-    '{"error":{"message":"Peer secret is wrong; check peers.secret_file"}}',
+    '{"error":{"message":"Invalid peer secret; check peers.secret_file"}}',
   );
 }
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,4 +1,4 @@
-/** Other entry VMs, as the rest of the program sees them. */
+/** Client interface for other entry VMs. */
 
 import type { Revision, Sha256 } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -6,13 +6,13 @@
 import type { HeadAnswer, VmViewAnswer } from "../protocol/peer_schema.ts";
 import type { ProbeAnswer } from "./peer_router.ts";
 
-/** Why a call of another entry VM failed. */
+/** Reason why a call to another entry VM failed. */
 export interface PeerError {
   readonly tag: "unreachable" | "refused";
   readonly reason: string;
 }
 
-/** Client of other entry VMs, by their peer addresses. */
+/** Calls other entry VMs by their peer addresses. */
 export interface Peers {
   probe(
     address: string,
@@ -23,12 +23,12 @@
     address: string,
     target: string,
   ): Promise<Result<boolean, PeerError>>;
-  /** Head, or its changes since the `known` revision. */
+  /** Returns the head, or its changes since the `known` revision. */
   head(
     address: string,
     known: Revision,
   ): Promise<Result<HeadAnswer, PeerError>>;
-  /** Condensed list of VMs, unless it is still the `known` version. */
+  /** Returns the condensed VM list, or no list if `known` is its current version. */
   vmView(
     address: string,
     known: string,
--- a/src/peers/prober.ts
+++ b/src/peers/prober.ts
@@ -1,4 +1,4 @@
-/** Probes other entry VMs in turn, and so finds failures and spreads news. */
+/** Probes other entry VMs in turn, which detects failures and spreads membership changes. */
 
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import type { Freshness } from "../core/config/freshness.ts";
@@ -14,9 +14,9 @@
 import { RepeatedTask } from "../runtime/repeated_task.ts";
 import type { Peers } from "./peers.ts";
 
-/** Entry VMs asked to probe one that did not answer. */
+/** Number of entry VMs that are asked to probe an entry VM that did not answer. */
 const INDIRECT_PROBES = 3;
-/** Every so many rounds a seed is probed, so that fleets that were apart join again. */
+/** Seeds are probed once in this many rounds, so that a partitioned fleet merges again. */
 const SEED_EVERY_ROUNDS = 15;
 
 interface Deps {
@@ -36,7 +36,7 @@
 export class Prober {
   readonly #deps: Deps;
   readonly #task: RepeatedTask;
-  #listed: readonly string[] = [];
+  #listedAddresses: readonly string[] = [];
   #rounds = 0;
 
   constructor(deps: Deps) {
@@ -45,36 +45,36 @@
     this.#task = new RepeatedTask({ intervalMs, run: () => this.#round() });
   }
 
-  /** Starts to probe. */
+  /** Starts the probe rounds. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to probe. */
+  /** Stops the probe rounds. */
   stop(): void {
     this.#task.stop();
   }
 
-  /** Peer addresses from the platform's list, used like seeds. */
-  setListed(addresses: readonly string[]): void {
-    this.#listed = addresses;
+  /** Sets the peer addresses from the platform's list, which are used like seeds. */
+  setListedAddresses(addresses: readonly string[]): void {
+    this.#listedAddresses = addresses;
   }
 
-  /** Probes once for another entry VM. */
+  /** Probes `target` once on behalf of another entry VM. */
   async probeFor(target: string): Promise<boolean> {
     return await this.#probe(target, false);
   }
 
-  /** Asks entry VMs what they hold, and how lately that was confirmed. */
-  async ask(members: readonly Member[]): Promise<void> {
+  /** Probes all `members` for the revision that each holds and the age of its confirmation. */
+  async poll(members: readonly Member[]): Promise<void> {
     await Promise.all(
       members.map((member) => this.#probe(member.peers, false)),
     );
   }
 
-  /** Tells `members` the newest about this entry VM, without waiting for a round. */
+  /** Sends the current state of this entry VM to `members`, without waiting for a round. */
   async announce(members: readonly Member[]): Promise<void> {
-    await this.ask(members);
+    await this.poll(members);
   }
 
   async #round(): Promise<void> {
@@ -90,14 +90,17 @@
     const nowMs = clock.monotonicMs();
     const keepDead = !this.#deps.freshness.isFresh(nowMs);
     for (const id of memberTable.expire(nowMs, { keepDead })) {
-      logger.warn("Entry is dead", { peer: id });
+      logger.warn("Entry is considered dead", { peer: id });
     }
   }
 
   async #joinBySeeds(members: readonly Member[]): Promise<void> {
     const known = new Set(members.map((member) => member.peers));
     known.add(this.#deps.settings.listen.peers);
-    const seeds = [...this.#deps.settings.peers.seeds, ...this.#listed];
+    const seeds = [
+      ...this.#deps.settings.peers.seeds,
+      ...this.#listedAddresses,
+    ];
     const unknown = [...new Set(seeds)].filter((seed) => !known.has(seed));
     await Promise.all(unknown.map((seed) => this.#probe(seed, true)));
   }
@@ -107,7 +110,7 @@
     if (await this.#probeIndirectly(member)) return;
     const { memberTable, clock, logger } = this.#deps;
     if (memberTable.suspect(member.id, clock.monotonicMs())) {
-      logger.warn("Entry is suspected", { peer: member.id });
+      logger.warn("Entry is suspected to have failed", { peer: member.id });
     }
   }
 
@@ -141,8 +144,8 @@
     });
     if (!answer.ok) return false;
     const { self, confirmed_age_ms, is_witness } = answer.value;
-    const told = [self, ...answer.value.news];
-    for (const member of memberTable.merge(told, clock.monotonicMs())) {
+    const received = [self, ...answer.value.news];
+    for (const member of memberTable.merge(received, clock.monotonicMs())) {
       logger.info("Entry changed state", {
         peer: member.id,
         state: member.state,
@@ -150,13 +153,13 @@
     }
     const { id: entry, revision } = self;
     if (is_witness) witnessLog.note({ entry, revision }, startedMs);
-    if (this.#hasNothingLater(self.id)) {
+    if (this.#hasNoLaterRevision(self.id)) {
       freshness.confirm(startedMs - confirmed_age_ms);
     }
     return true;
   }
 
-  #hasNothingLater(id: EntryId): boolean {
+  #hasNoLaterRevision(id: EntryId): boolean {
     const { memberTable, configurationStore } = this.#deps;
     const revision = memberTable.get(id)?.revision;
     return revision !== undefined && revision <= configurationStore.revision;
--- a/src/peers/relay_role.ts
+++ b/src/peers/relay_role.ts
@@ -1,4 +1,4 @@
-/** Tells whether this entry VM asks the platform itself or asks a relay. */
+/** Determines whether this entry VM calls the platform itself or goes through a relay. */
 
 import { isAmong, relaysOf } from "../core/membership/relay_choice.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -9,7 +9,7 @@
   readonly memberTable: MemberTable;
 }
 
-/** The relay role, taken and left as entry VMs come and go; nothing is elected. */
+/** Derives the relay role from the current members; there is no election. */
 export class RelayRole {
   readonly #memberTable: MemberTable;
   #relays: Member[] = [];
@@ -20,12 +20,12 @@
   }
 
   /** Whether this entry VM is a relay of its data centre. */
-  get held(): boolean {
+  get isRelay(): boolean {
     return isAmong(this.#current(), this.#memberTable.self.id);
   }
 
-  /** Relays to ask, in an order of this entry VM's own, so that askers spread. */
-  toAsk(): Member[] {
+  /** Relays in the order in which to try them; each entry VM has its own, to spread the load. */
+  relaysByPreference(): Member[] {
     const { id: self } = this.#memberTable.self;
     return this.#current()
       .filter(({ id }) => id !== self)
--- a/src/peers/trpc_clients.ts
+++ b/src/peers/trpc_clients.ts
@@ -1,4 +1,4 @@
-/** Clients of other VMs by tRPC, one for each address. */
+/** tRPC clients for other VMs, one per address. */
 
 import {
   createTRPCClient,
@@ -13,27 +13,27 @@
 import { peerLink } from "./peer_link.ts";
 import type { PeerError } from "./peers.ts";
 
-/** Clients kept; more than the entry VMs that are alive at once. */
+/** Maximum number of cached clients; more than the entry VMs that are alive at the same time. */
 const MAX_CLIENTS = 1_024;
-/** Connections to one entry VM. */
-const CONNECTIONS = 2;
-/** Idle connections are given up, since each entry VM is probed rarely. */
+/** Maximum number of connections to one VM. */
+const MAX_CONNECTIONS_PER_VM = 2;
+/** Idle connections are closed after this time, since each entry VM is probed rarely. */
 const KEEP_ALIVE_MS = 60_000;
-/** Wait for a connection to another VM; they stand a few milliseconds away. */
+/** Timeout of a connection attempt; round trips between VMs take a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** How clients connect. */
+/** Connection options of the clients. */
 export interface TrpcClientsOptions {
   readonly meter: SocketMeter;
-  /** Headers of every call. */
+  /** Headers sent with every call. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Address that calls come from, where a VM has several. */
+  /** Local address to connect from, if the VM has several. */
   readonly localAddress: string | undefined;
-  /** Whether the servers called read compressed messages. */
+  /** Whether the servers accept compressed requests. */
   readonly packed: boolean;
 }
 
-/** Keeps the clients of one kind of router. */
+/** Caches the clients for one type of router. */
 export class TrpcClients<Router extends AnyTRPCRouter> {
   readonly #headers: Readonly<Record<string, string>>;
   readonly #agent: Agent;
@@ -45,40 +45,40 @@
     this.#packed = packed;
     this.#agent = meteredAgent(meter, {
       localAddress,
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS_PER_VM,
       keepAliveTimeout: KEEP_ALIVE_MS,
       connect: { timeout: CONNECT_TIMEOUT_MS },
     });
   }
 
-  /** Calls another VM; errors and late answers become results. */
+  /** Calls another VM; errors and timeouts are returned as results. */
   async call<T>(
     address: string,
-    { timeoutMs, ask }: {
+    { timeoutMs, invoke }: {
       timeoutMs: number;
-      ask: (client: TRPCClient<Router>, signal: AbortSignal) => Promise<T>;
+      invoke: (client: TRPCClient<Router>, signal: AbortSignal) => Promise<T>;
     },
   ): Promise<Result<T, PeerError>> {
     try {
       return ok(
         await withDeadline(
           { limitMs: timeoutMs },
-          ({ signal }) => ask(this.#client(address), signal),
+          ({ signal }) => invoke(this.#client(address), signal),
         ),
       );
     } catch (err) {
-      return fail(peerErrorOf(err));
+      return fail(toPeerError(err));
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
   #client(address: string): TRPCClient<Router> {
-    const known = this.#clients.get(address);
-    if (known !== undefined) return known;
+    const cached = this.#clients.get(address);
+    if (cached !== undefined) return cached;
     if (this.#clients.size >= MAX_CLIENTS) this.#clients.clear();
     const link = peerLink<Router>({
       url: `http://${address}`,
@@ -92,7 +92,7 @@
   }
 }
 
-function peerErrorOf(err: unknown): PeerError {
+function toPeerError(err: unknown): PeerError {
   const reason = err instanceof Error ? err.message : String(err);
   const answered = err instanceof TRPCClientError && err.data !== undefined;
   return { tag: answered ? "refused" : "unreachable", reason };
--- a/src/peers/trpc_peers.ts
+++ b/src/peers/trpc_peers.ts
@@ -1,4 +1,4 @@
-/** Client of other entry VMs by tRPC. */
+/** tRPC client for other entry VMs. */
 
 import type { Revision, Sha256 } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -17,7 +17,7 @@
 import type { PeerError, Peers } from "./peers.ts";
 import { TrpcClients } from "./trpc_clients.ts";
 
-/** Wait for a part of the configuration, which may be large. */
+/** Timeout for a part of the configuration, which may be large. */
 const OBJECT_TIMEOUT_MS = 2_000;
 const ANY_HOST = "0.0.0.0";
 
@@ -27,20 +27,20 @@
   readonly peerMeter: SocketMeter;
 }
 
-/** One tRPC client for each address. */
+/** Calls other entry VMs by tRPC, with the shared secret. */
 export class TrpcPeers implements Peers {
   readonly #deps: Deps;
   readonly #clients: TrpcClients<PeerRouter>;
 
   constructor(deps: Deps) {
     this.#deps = deps;
-    // Calls come from the address that peers know, also where a VM has several.
+    // A VM with several addresses calls from the one that its peers know.
     const { host } = parseAddress(deps.settings.listen.peers);
     this.#clients = new TrpcClients<PeerRouter>({
       meter: deps.peerMeter,
       headers: { authorization: `Bearer ${deps.peerSecret}` },
       localAddress: host === ANY_HOST ? undefined : host,
-      // Entries answer by tRPC's own server, which reads plain JSON only.
+      // Entry VMs use tRPC's own server, which accepts uncompressed JSON only.
       packed: false,
     });
   }
@@ -51,7 +51,7 @@
   ): Promise<Result<ProbeAnswer, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: this.#probeTimeoutMs(),
-      ask: async (client, signal) => {
+      invoke: async (client, signal) => {
         const input = { news: [...news], joining };
         const answer = await client.probe.mutate(input, { signal });
         return probeAnswerSchema.parse(answer);
@@ -64,9 +64,10 @@
     target: string,
   ): Promise<Result<boolean, PeerError>> {
     return this.#clients.call(address, {
-      // The asked entry VM waits as long for its own probe.
+      // The called entry VM waits up to one timeout for its own probe.
       timeoutMs: 2 * this.#probeTimeoutMs(),
-      ask: (client, signal) => client.probeFor.mutate({ target }, { signal }),
+      invoke: (client, signal) =>
+        client.probeFor.mutate({ target }, { signal }),
     });
   }
 
@@ -76,7 +77,7 @@
   ): Promise<Result<HeadAnswer, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: OBJECT_TIMEOUT_MS,
-      ask: async (client, signal) =>
+      invoke: async (client, signal) =>
         headAnswerSchema.parse(await client.head.query({ known }, { signal })),
     });
   }
@@ -87,7 +88,7 @@
   ): Promise<Result<VmViewAnswer, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: this.#probeTimeoutMs(),
-      ask: async (client, signal) => {
+      invoke: async (client, signal) => {
         const answer = await client.vmView.query({ known }, { signal });
         return vmViewAnswerSchema.parse(answer);
       },
@@ -97,11 +98,11 @@
   object(address: string, sha256: Sha256): Promise<Result<string, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: OBJECT_TIMEOUT_MS,
-      ask: (client, signal) => client.object.query({ sha256 }, { signal }),
+      invoke: (client, signal) => client.object.query({ sha256 }, { signal }),
     });
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#clients.close();
   }
--- a/src/peers/vm_view_holder.ts
+++ b/src/peers/vm_view_holder.ts
@@ -1,17 +1,16 @@
-/** The condensed list of VMs that this entry holds, for itself and for others. */
+/** Holds the condensed VM list of this entry VM, for its own use and for other entry VMs. */
 
 import type { VmView } from "../protocol/peer_schema.ts";
 
-/** Holds the latest view. */
+/** Holds the latest VM view. */
 export class VmViewHolder {
   #current: VmView | undefined;
 
-  /** Latest view; undefined before the first. */
+  /** Latest view; undefined until the first one is set. */
   get current(): VmView | undefined {
     return this.#current;
   }
 
-  /** Takes a view in. */
   set(view: VmView): void {
     this.#current = view;
   }
