--- a/src/fleet/crash_news.ts
+++ b/src/fleet/crash_gossip.ts
@@ -1,4 +1,4 @@
-/** What VMs tell each other of requests under which servers have ended. */
+/** Exchanges crashes of servers, and the requests that ran during them, between VMs. */
 
 import type { Crash } from "../core/crashes/crash.ts";
 import type { CrashHistory } from "../core/crashes/crash_history.ts";
@@ -9,17 +9,17 @@
 import type { Logger } from "../runtime/logger.ts";
 
 /**
- * News is told for at least this long after it was learnt, in milliseconds: two VMs of a mesh
- * ask each other every 1.2 s, a VM its relay every 0.8 s, so that one question may be lost.
+ * A crash is sent for at least this long after this VM learnt of it. Two VMs of a mesh exchange
+ * digests every 1.2 s, a VM and its relay every 0.8 s, so one request may be lost.
  */
-const TELL_MS = 3_000;
-/** Servers that have ended under a request, from which on its news is told at once. */
+const RESEND_WINDOW_MS = 3_000;
+/** A request involved in this many server crashes is sent without waiting for the next round. */
 const URGENT_CRASHES = 2;
-/** Ends of servers in one message, at most; the rest comes with later ones. */
-const MOST_TOLD = 1_000;
+/** Maximum number of crashes in one message; later messages carry the rest. */
+const MAX_CRASHES_SENT = 1_000;
 
-/** Part of a digest that tells of crashes. */
-export type ToldCrashes = VmDigest["crashes"];
+/** Crash part of a digest. */
+export type CrashDigest = VmDigest["crashes"];
 
 interface Deps {
   readonly crashHistory: CrashHistory;
@@ -27,21 +27,21 @@
   readonly logger: Logger;
 }
 
-/** Whom news is told. */
-interface Listener {
-  /** Life of the process that hears. */
+/** Delivery state of a VM that requests digests. */
+interface Recipient {
+  /** Incarnation of the process on that VM. */
   readonly life: number;
-  /** When it was last told all that there was to tell. */
-  readonly toldMs: number;
+  /** Time at which it was last sent all pending crashes. */
+  readonly sentMs: number;
 }
 
-/** Where news comes from, for the log. */
+/** Source of a crash, for the log. */
 type Source = "own" | "store" | EntryId;
 
-/** Takes in news of crashes, tells it on, and logs what follows from it. */
-export class CrashNews {
+/** Records crashes, sends them to other VMs, and logs which requests are classified by them. */
+export class CrashGossip {
   readonly #deps: Deps;
-  readonly #listeners = new Map<EntryId, Listener>();
+  readonly #recipients = new Map<EntryId, Recipient>();
   #onUrgent: (here: boolean) => void = () => {};
 
   constructor(deps: Deps) {
@@ -49,25 +49,25 @@
   }
 
   /**
-   * Sets what is called for news that other VMs need at once; `here` tells that this VM is the
-   * first to know it.
+   * Sets the listener for crashes that other VMs need immediately; `here` is true if this VM is
+   * the first one in the fleet to know of them.
    */
   onUrgent(listener: (here: boolean) => void): void {
     this.#onUrgent = listener;
   }
 
-  /** Takes in what this VM has seen itself. */
-  seen(crash: Crash): void {
-    this.#take([crash], "own");
+  /** Records a crash that this VM observed. */
+  recordLocal(crash: Crash): void {
+    this.#record([crash], "own");
   }
 
-  /** Takes in what was kept in the store. */
-  read(crashes: readonly Crash[]): void {
-    this.#take(crashes, "store");
+  /** Records crashes that were read from the store. */
+  recordStored(crashes: readonly Crash[]): void {
+    this.#record(crashes, "store");
   }
 
-  /** Takes in what another VM has told. */
-  hear({ ends, goodEnds }: ToldCrashes, from: EntryId): void {
+  /** Merges the crashes that another VM has sent. */
+  receive({ ends, goodEnds }: CrashDigest, from: EntryId): void {
     if (ends.length + goodEnds.length === 0) return;
     const { crashHistory, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
@@ -80,44 +80,44 @@
       beganMs: nowMs - beganAgeMs,
       endedMs: nowMs - endedAgeMs,
     }));
-    this.#take(crashes, from);
+    this.#record(crashes, from);
   }
 
-  /** What VMs are told without being asked: what is new. */
-  news(): ToldCrashes {
-    return this.#since(this.#deps.clock.monotonicMs() - TELL_MS);
+  /** Recent crashes, for unsolicited digests. */
+  recentCrashes(): CrashDigest {
+    return this.#since(this.#deps.clock.monotonicMs() - RESEND_WINDOW_MS);
   }
 
-  /** What a VM is told that asks: all that it may not have heard yet from this one. */
-  newsFor(vm: EntryId, life: number): ToldCrashes {
+  /** Crashes to send to a requesting VM: all that it may not have received from this VM yet. */
+  crashesFor(vm: EntryId, life: number): CrashDigest {
     const nowMs = this.#deps.clock.monotonicMs();
-    const last = this.#listeners.get(vm);
-    this.#listeners.set(vm, { life, toldMs: nowMs });
-    // Its last answer may have been lost, as may be what it was told before it froze.
+    const last = this.#recipients.get(vm);
+    this.#recipients.set(vm, { life, sentMs: nowMs });
+    // The last answer may have been lost, and so may what was sent just before the VM froze.
     return last?.life === life
-      ? this.#since(last.toldMs - TELL_MS)
+      ? this.#since(last.sentMs - RESEND_WINDOW_MS)
       : this.#since(-Infinity);
   }
 
-  /** Forgets what is old. */
-  expire(): void {
+  /** Removes expired crashes. */
+  removeExpired(): void {
     this.#deps.crashHistory.removeExpired(this.#deps.clock.monotonicMs());
   }
 
-  #since(sinceMs: number): ToldCrashes {
+  #since(sinceMs: number): CrashDigest {
     const { crashHistory, clock } = this.#deps;
     if (crashHistory.isEmpty) return { ends: [], goodEnds: [] };
     const nowMs = clock.monotonicMs();
     const ends = crashHistory.crashesSince(sinceMs)
       .sort((a, b) => b.endedMs - a.endedMs)
-      .slice(0, MOST_TOLD)
+      .slice(0, MAX_CRASHES_SENT)
       .map(({ beganMs, endedMs, ...crash }) => ({
         ...crash,
         beganAgeMs: toldAgeMs(nowMs - beganMs),
         endedAgeMs: toldAgeMs(nowMs - endedMs),
       }));
     const goodEnds = crashHistory.successesSince(sinceMs)
-      .slice(0, MOST_TOLD)
+      .slice(0, MAX_CRASHES_SENT)
       .map(({ request, atMs }) => ({
         request,
         ageMs: toldAgeMs(nowMs - atMs),
@@ -125,40 +125,46 @@
     return { ends, goodEnds };
   }
 
-  #take(crashes: readonly Crash[], from: Source): void {
+  #record(crashes: readonly Crash[], from: Source): void {
     const { crashHistory, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
     const before = crashHistory.crashingRequests;
-    const news = crashes.filter((crash) =>
+    const added = crashes.filter((crash) =>
       crashHistory.recordCrash(crash, nowMs)
     );
-    if (news.length === 0) return;
-    this.#logVerdicts(before, from);
-    const urgent = news.some(({ request }) =>
+    if (added.length === 0) return;
+    this.#logClassificationChanges(before, from);
+    const urgent = added.some(({ request }) =>
       crashHistory.crashesOf(request).length >= URGENT_CRASHES
     );
     if (urgent) this.#onUrgent(from === "own" || from === "store");
   }
 
-  #logVerdicts(before: ReadonlySet<RequestKey>, from: Source): void {
+  #logClassificationChanges(
+    before: ReadonlySet<RequestKey>,
+    from: Source,
+  ): void {
     const { crashingRequests: poison } = this.#deps.crashHistory;
     for (const request of poison) {
-      if (!before.has(request)) this.#logVerdict(request, from);
+      if (!before.has(request)) this.#logClassification(request, from);
     }
     for (const request of before) {
       if (poison.has(request)) continue;
-      this.#deps.logger.info("Request is no longer taken to crash servers", {
-        request,
-        told_by: from,
-      });
+      this.#deps.logger.info(
+        "Request is no longer classified as crashing servers",
+        {
+          request,
+          told_by: from,
+        },
+      );
     }
   }
 
-  #logVerdict(request: RequestKey, from: Source): void {
+  #logClassification(request: RequestKey, from: Source): void {
     const { crashHistory, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
     const crashes = crashHistory.crashesOf(request);
-    logger.warn("Request is taken to crash servers", {
+    logger.warn("Request is classified as crashing servers", {
       request,
       account: crashes[0]?.account,
       told_by: from,
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -12,7 +12,7 @@
   incarnationIdOf,
   type ServerRecord,
 } from "../core/servers/server_record.ts";
-import type { CrashNews } from "../fleet/crash_news.ts";
+import type { CrashGossip } from "../fleet/crash_gossip.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
@@ -23,7 +23,7 @@
   readonly serverEndCheck: ServerEndCheck;
   readonly serverDirectory: ServerDirectory;
   readonly crashHistory: CrashHistory;
-  readonly crashNews: CrashNews;
+  readonly crashGossip: CrashGossip;
   readonly gatewayMetrics: GatewayMetrics;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -110,7 +110,7 @@
     gatewayMetrics.serverExits.inc({ service: monitored.service });
     const crash = this.#crashOf(monitored, { brokenAttempt, endedMs });
     this.#log(crash, { monitored, brokenAttempt, suspected });
-    if (suspected) this.#deps.crashNews.seen(crash);
+    if (suspected) this.#deps.crashGossip.recordLocal(crash);
   }
 
   #crashOf(
--- a/src/gateway/request_crash_tracker_test.ts
+++ b/src/gateway/request_crash_tracker_test.ts
@@ -11,7 +11,7 @@
 import { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { ServiceId } from "../core/ids.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
-import { CrashNews } from "../fleet/crash_news.ts";
+import { CrashGossip } from "../fleet/crash_gossip.ts";
 import { SilentLogger } from "../runtime/logger.ts";
 import { CrashDetector } from "./crash_detector.ts";
 import { GatewayMetrics } from "./gateway_metrics.ts";
@@ -49,7 +49,7 @@
     serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
     serverDirectory: new ServerDirectory(),
     crashHistory: book,
-    crashNews: new CrashNews({ crashHistory: book, clock, logger }),
+    crashGossip: new CrashGossip({ crashHistory: book, clock, logger }),
     gatewayMetrics: new GatewayMetrics(),
     clock,
     logger,
--- a/src/peers/relay_role.ts
+++ b/src/peers/relay_role.ts
@@ -1,9 +1,6 @@
-/** Tells whether this entry VM asks the platform itself or asks a relay. */
+/** Determines whether this entry VM calls the platform itself or goes through a relay. */
 
-import {
-  includesMember,
-  selectRelays,
-} from "../core/membership/relay_choice.ts";
+import { isAmong, relaysOf } from "../core/membership/relay_choice.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import { unitHash } from "../runtime/hashing.ts";
@@ -12,7 +9,7 @@
   readonly memberTable: MemberTable;
 }
 
-/** The relay role, taken and left as entry VMs come and go; nothing is elected. */
+/** Derives the relay role from the current members; there is no election. */
 export class RelayRole {
   readonly #memberTable: MemberTable;
   #relays: Member[] = [];
@@ -23,12 +20,12 @@
   }
 
   /** Whether this entry VM is a relay of its data centre. */
-  get held(): boolean {
-    return includesMember(this.#current(), this.#memberTable.self.id);
+  get isRelay(): boolean {
+    return isAmong(this.#current(), this.#memberTable.self.id);
   }
 
-  /** Relays to ask, in an order of this entry VM's own, so that askers spread. */
-  toAsk(): Member[] {
+  /** Relays in the order in which to try them; each entry VM has its own, to spread the load. */
+  relaysByPreference(): Member[] {
     const { id: self } = this.#memberTable.self;
     return this.#current()
       .filter(({ id }) => id !== self)
@@ -38,10 +35,10 @@
   }
 
   #current(): Member[] {
-    const { viewVersion: changes, self } = this.#memberTable;
+    const { changes, self } = this.#memberTable;
     if (changes !== this.#seenChanges) {
       const members = this.#memberTable.others();
-      this.#relays = selectRelays(self, { members, unitHash });
+      this.#relays = relaysOf(self, { members, unitHash });
       this.#seenChanges = changes;
     }
     return this.#relays;
