--- a/src/fleet/digest_service.ts
+++ b/src/fleet/digest_service.ts
@@ -109,7 +109,7 @@
     // A VM that has just joined needs the full member list.
     const news = isNew
       ? memberTable.everyone()
-      : [...digest.news, ...memberTable.misjudged(id)];
+      : [...digest.news, ...memberTable.suspicionToRefute(id)];
     const crashes = crashGossip.crashesFor(id, received.life);
     return {
       digest: { ...digest, news, crashes },
@@ -155,7 +155,7 @@
   #buildDigest(content: DigestContent): VmDigest {
     const { memberTable, releaseGate, relayRole, storeSync } = this.#deps;
     const { confirmation } = this.#deps.routingFollower;
-    const [self, ...news] = memberTable.newsToTell();
+    const [self, ...news] = memberTable.nextGossip();
     return {
       self: self ?? memberTable.self,
       life: this.#incarnation,
--- a/src/fleet/digest_service_test.ts
+++ b/src/fleet/digest_service_test.ts
@@ -7,7 +7,7 @@
   ReleaseId,
   RequestKey,
   RouteId,
-  ServerLife,
+  ServerIncarnation,
   ServiceId,
 } from "../core/ids.ts";
 import type { Crash } from "../core/crashes/crash.ts";
@@ -248,11 +248,11 @@
     return {
       request,
       account: undefined,
-      life: `i-${n}` as ServerLife,
+      life: `i-${n}` as ServerIncarnation,
       address: `10.0.0.${n}:1`,
       after: Array.from(
         { length: n - 1 },
-        (_, at) => `i-${at + 1}` as ServerLife,
+        (_, at) => `i-${at + 1}` as ServerIncarnation,
       ),
       beganMs: nowMs - 10,
       endedMs: nowMs,
--- a/src/fleet/fleet_relay_role.ts
+++ b/src/fleet/fleet_relay_role.ts
@@ -1,11 +1,11 @@
 /** Determines which VMs are relays and which read the store, and tracks whether they respond. */
 
 import {
-  fleetRelays,
-  isMesh,
+  isFullMesh,
   rankReaders,
-  type ReaderRanks,
-  storeReaders,
+  type ReaderRanking,
+  selectFleetRelays,
+  selectStoreReaders,
 } from "../core/membership/fleet_relays.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
@@ -63,7 +63,7 @@
   #localRelays: Member[] = [];
   #remoteRelays: Member[] = [];
   /** Cached while the members are unchanged: ranking a large fleet in each round costs CPU time. */
-  #ranks: ReaderRanks | undefined;
+  #ranks: ReaderRanking | undefined;
   /** Other relays by rank, and the followers of this relay; cached for the same reason. */
   #byRank: readonly Member[] | undefined;
   #followers: ReadonlySet<EntryId> | undefined;
@@ -248,7 +248,7 @@
       if (nowMs - atMs > STORE_LOSS_TTL_MS) this.#storeLostAtMs.delete(vm);
     }
     if (this.#ranks === undefined) return;
-    this.#readers = storeReaders(
+    this.#readers = selectStoreReaders(
       this.#ranks,
       (vm) => this.#storeLostAtMs.has(vm),
     );
@@ -256,15 +256,15 @@
 
   #refresh(): void {
     const { memberTable, unitHash } = this.#deps;
-    if (memberTable.changes === this.#seenChanges) return;
-    this.#seenChanges = memberTable.changes;
+    if (memberTable.viewVersion === this.#seenChanges) return;
+    this.#seenChanges = memberTable.viewVersion;
     const { self } = memberTable;
     const members = [self, ...memberTable.others()];
     const relaysOf = (dataCentre: string) =>
-      fleetRelays(members, { dataCentre, unitHash });
+      selectFleetRelays(members, { dataCentre, unitHash });
     const dataCentres = new Set(members.map((member) => member.data_centre));
     dataCentres.delete(self.data_centre);
-    this.#fullMesh = isMesh(members);
+    this.#fullMesh = isFullMesh(members);
     this.#localRelays = relaysOf(self.data_centre);
     this.#remoteRelays = [...dataCentres].flatMap(relaysOf);
     this.#ranks = rankReaders(members, { unitHash });
--- a/src/peers/peer_router.ts
+++ b/src/peers/peer_router.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import type { Freshness } from "../core/config/freshness.ts";
 import type { PlatformContact } from "../core/config/platform_contact.ts";
-import { headDelta } from "../core/config/head_delta.ts";
+import { diffHeads } from "../core/config/head_delta.ts";
 import type { Sha256 } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
@@ -57,7 +57,7 @@
         memberTable.merge(input.news, clock.monotonicMs());
         const news = input.joining
           ? memberTable.everyone()
-          : memberTable.newsToTell();
+          : memberTable.nextGossip();
         return {
           self: memberTable.self,
           news,
@@ -74,7 +74,7 @@
         const { head } = configurationStore;
         if (head === undefined) throw new TRPCError({ code: "NOT_FOUND" });
         const known = configurationStore.earlierHead(input.known);
-        const delta = known === undefined ? undefined : headDelta(known, head);
+        const delta = known === undefined ? undefined : diffHeads(known, head);
         return delta === undefined ? { head } : { delta };
       },
     ),
--- a/src/peers/prober.ts
+++ b/src/peers/prober.ts
@@ -116,7 +116,7 @@
 
   async #probeIndirectly(member: Member): Promise<boolean> {
     const { memberTable, probeOrder, peers } = this.#deps;
-    const helpers = probeOrder.some(memberTable.others(), {
+    const helpers = probeOrder.sample(memberTable.others(), {
       count: INDIRECT_PROBES,
       except: member.id,
     });
@@ -136,7 +136,7 @@
       entryMetrics,
       logger,
     } = this.#deps;
-    const news = memberTable.newsToTell();
+    const news = memberTable.nextGossip();
     const startedMs = clock.monotonicMs();
     const answer = await peers.probe(address, { news, joining });
     entryMetrics.probes.inc({
@@ -152,7 +152,7 @@
       });
     }
     const { id: entry, revision } = self;
-    if (is_witness) witnessLog.note({ entry, revision }, startedMs);
+    if (is_witness) witnessLog.record({ entry, revision }, startedMs);
     if (this.#hasNoLaterRevision(self.id)) {
       freshness.confirm(startedMs - confirmed_age_ms);
     }
--- a/src/peers/relay_role.ts
+++ b/src/peers/relay_role.ts
@@ -1,6 +1,9 @@
 /** Determines whether this entry VM calls the platform itself or goes through a relay. */
 
-import { isAmong, relaysOf } from "../core/membership/relay_choice.ts";
+import {
+  includesMember,
+  selectRelays,
+} from "../core/membership/relay_choice.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import { unitHash } from "../runtime/hashing.ts";
@@ -21,7 +24,7 @@
 
   /** Whether this entry VM is a relay of its data centre. */
   get isRelay(): boolean {
-    return isAmong(this.#current(), this.#memberTable.self.id);
+    return includesMember(this.#current(), this.#memberTable.self.id);
   }
 
   /** Relays in the order in which to try them; each entry VM has its own, to spread the load. */
@@ -35,10 +38,10 @@
   }
 
   #current(): Member[] {
-    const { changes, self } = this.#memberTable;
+    const { viewVersion: changes, self } = this.#memberTable;
     if (changes !== this.#seenChanges) {
       const members = this.#memberTable.others();
-      this.#relays = relaysOf(self, { members, unitHash });
+      this.#relays = selectRelays(self, { members, unitHash });
       this.#seenChanges = changes;
     }
     return this.#relays;
