--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -137,7 +137,7 @@
       .sort()
       .slice(0, CRASH_KEEPERS);
     if (!keepers.includes(memberTable.self.id)) return;
-    crashNews.read(await crashRegistry.update());
+    crashNews.read(await crashRegistry.sync());
   }
 
   async #round(): Promise<void> {
@@ -152,12 +152,12 @@
     const members = memberTable.others();
     const settled = members.length === 0 ? ALONE_WRITE_ROUNDS : SETTLED_ROUNDS;
     if (relayRole.reads && this.#rounds > settled) {
-      void this.#deps.vmRegistry.write();
+      void this.#deps.vmRegistry.register();
       void this.#keepCrashes();
     }
     for (const member of this.#chosen()) void this.#probe(member);
     if (members.length === 0 && this.#rounds > ALONE_ROUNDS) {
-      void this.#deps.vmRegistry.whileAlone();
+      void this.#deps.vmRegistry.refreshAddresses();
     }
     if (members.length === 0 || this.#rounds % SEED_EVERY_ROUNDS === 0) {
       this.#askSeeds(members);
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -121,7 +121,7 @@
   hearAnswer({ digest, store }: DigestAnswer, askedMs: number): boolean {
     this.#hear(digest);
     const inTouch = this.#deps.storeSync.hear(store);
-    this.#deps.routingFollower.hearConfirmation({
+    this.#deps.routingFollower.receiveConfirmation({
       version: digest.configurationVersion,
       atMs: askedMs - digest.confirmedAgeMs,
     });
--- a/src/fleet/digest_keeper_test.ts
+++ b/src/fleet/digest_keeper_test.ts
@@ -83,7 +83,7 @@
       releaseGate,
       routingFollower: {
         confirmation: { version: 1, ageMs: 0 },
-        hearConfirmation: () => {},
+        receiveConfirmation: () => {},
       } as unknown as RoutingFollower,
       storeSync: {
         storeLost: false,
--- a/src/fleet/fleet_relay_role.ts
+++ b/src/fleet/fleet_relay_role.ts
@@ -13,7 +13,7 @@
 import type { EntryId } from "../core/ids.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import { asksStore, type StoreAccess } from "../store/store_access.ts";
+import { readsStore, type StoreAccess } from "../store/store_access.ts";
 import type { StoreSync } from "../store/store_sync.ts";
 
 /**
@@ -199,7 +199,7 @@
 
   /** Whether this VM asks the store itself, for others or since none was heard lately. */
   get asksStore(): boolean {
-    return asksStore(this.#deps.storeSync.access);
+    return readsStore(this.#deps.storeSync.access);
   }
 
   /** Brings up to date how this VM comes to know what the store holds. */
--- a/src/fleet/store_feed.ts
+++ b/src/fleet/store_feed.ts
@@ -34,7 +34,7 @@
 
   constructor(deps: Deps) {
     this.#deps = deps;
-    deps.storeSync.onNews(() => this.#gather());
+    deps.storeSync.onUpdate(() => this.#gather());
   }
 
   /** Answers at once where something is new already, else with the next news. */
--- a/src/fleet/store_feed_test.ts
+++ b/src/fleet/store_feed_test.ts
@@ -31,7 +31,7 @@
         known: known(),
         changes: [],
       }),
-      onNews: (listener: () => void) => news = listener,
+      onUpdate: (listener: () => void) => news = listener,
     } as unknown as StoreSync,
     routingFollower: {
       confirmation: { version: 4, ageMs: 20 },
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -98,7 +98,7 @@
     storeSync.hear(store);
     // The answer was made no earlier than this, however long it was on its way.
     const sinceAskedMs = heldMs - confirmedAgeMs;
-    this.#deps.routingFollower.hearConfirmation({
+    this.#deps.routingFollower.receiveConfirmation({
       version: configurationVersion,
       atMs: datedMs + sinceAskedMs,
     });
--- a/src/fleet/store_subscriber_test.ts
+++ b/src/fleet/store_subscriber_test.ts
@@ -52,7 +52,7 @@
     } as unknown as FleetRelayRole,
     storeSync: { known: () => [], hear: () => true } as unknown as StoreSync,
     routingFollower: {
-      hearConfirmation: (told: { version: number; atMs: number }) =>
+      receiveConfirmation: (told: { version: number; atMs: number }) =>
         confirmed.push(told),
     } as unknown as RoutingFollower,
     vmClients: {
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -124,7 +124,9 @@
     gatewayMetrics.configurationVersion.set(version);
     gatewayMetrics.confirmationAge.set(ageMs / MS_PER_SECOND);
     gatewayMetrics.servers.set(serverDirectory.size);
-    gatewayMetrics.unreadableServers.set(this.#deps.serverFollower.unreadable);
+    gatewayMetrics.unreadableServers.set(
+      this.#deps.serverFollower.unreadableEntries,
+    );
     gatewayMetrics.evacuatedDataCentres.set(serverDirectory.evacuated.size);
     gatewayMetrics.coldServers.set(coldServers.count(clock.monotonicMs()));
     gatewayMetrics.serversInBackoff.set(serverRests.count(clock.monotonicMs()));
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -61,8 +61,8 @@
 import { ServerFollower } from "../store/server_follower.ts";
 import { StoreSync } from "../store/store_sync.ts";
 import { VmRegistry } from "../store/vm_registry.ts";
-import { TrialFollower } from "../store/trial_follower.ts";
-import { StoreHealthKeeper } from "../store/store_health.ts";
+import { CanaryFollower } from "../store/canary_follower.ts";
+import { StoreHealthMonitor } from "../store/store_health_monitor.ts";
 import { AddressList } from "./address_list.ts";
 import { AttemptAcks } from "./attempt_acks.ts";
 import { ColdServerGuard } from "./cold_server_guard.ts";
@@ -110,7 +110,7 @@
   readonly silenceWatch: SilenceWatch;
   readonly serverProbe: ServerProbe;
   readonly promptHolders: PromptHolders;
-  readonly trialFollower: TrialFollower;
+  readonly canaryFollower: CanaryFollower;
   readonly trialController: TrialController;
   readonly digestServer: DigestServer;
   readonly storeSync: StoreSync;
@@ -254,14 +254,14 @@
 ): void {
   container.register({
     objectStore: asValue(new HttpObjectStore(vmSettings.store.address)),
-    storeHealth: singleton(StoreHealthKeeper),
+    storeHealth: singleton(StoreHealthMonitor),
     seenRevisions: asFunction(() => new SeenRevisions()).singleton(),
     missedChangeDetector: singleton(MissedChangeDetector),
     routingFollower: singleton(RoutingFollower),
     serverFollower: singleton(ServerFollower),
     rollOutFollower: singleton(RollOutFollower),
     evacuationFollower: singleton(EvacuationFollower),
-    trialFollower: singleton(TrialFollower),
+    canaryFollower: singleton(CanaryFollower),
     trialController: singleton(TrialController),
     storeSync: singleton(StoreSync),
     relayRole: singleton(FleetRelayRole),
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -62,14 +62,14 @@
         components.clock.monotonicMs(),
       );
     });
-    components.evacuationFollower.onReturn((servers) =>
+    components.evacuationFollower.onEvacuationEnd((servers) =>
       components.coldServerGuard.assumeCold(servers)
     );
     components.routingFollower.onChange(({ configuration, version }) => {
       components.requestServer.setLimits(configuration.limits);
       components.memberTable.setOwnRevision(version as Revision);
     });
-    components.trialFollower.start();
+    components.canaryFollower.start();
     if (listen.peers !== undefined) {
       await components.digestServer.listen(listen.peers);
       components.digestExchanger.start();
@@ -120,7 +120,7 @@
     const components = this.#components;
     this.#heartbeat.stop();
     components.trialController.stop();
-    components.trialFollower.stop();
+    components.canaryFollower.stop();
     components.evacuationFollower.stop();
     components.rollOutFollower.stop();
     components.serverFollower.stop();
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -282,7 +282,7 @@
       case "not_run":
         return this.#tally.recordRefusal() ? "again" : this.#waitOrRefuse();
       case "misdirected":
-        this.#deps.serverFollower.misdirected(server.instance);
+        this.#deps.serverFollower.markMisdirected(server.instance);
         return "again";
       case "turned_down":
         return this.#escalate();
--- a/src/gateway/trial_controller.ts
+++ b/src/gateway/trial_controller.ts
@@ -23,7 +23,7 @@
 import type { Logger } from "../runtime/logger.ts";
 import { RepeatedTask } from "../runtime/repeated_task.ts";
 import type { RollOutFollower } from "../store/roll_out_follower.ts";
-import type { TrialFollower } from "../store/trial_follower.ts";
+import type { CanaryFollower } from "../store/canary_follower.ts";
 import type { ColdServerGuard } from "./cold_server_guard.ts";
 import type { StopState } from "./stop_state.ts";
 
@@ -49,7 +49,7 @@
   readonly serverLoads: ServerLoads;
   readonly coldServerGuard: ColdServerGuard;
   readonly rollOutFollower: RollOutFollower;
-  readonly trialFollower: TrialFollower;
+  readonly canaryFollower: CanaryFollower;
   readonly stopState: StopState;
   readonly bounds: DeploymentBounds;
   readonly clock: Clock;
@@ -245,7 +245,7 @@
         return this.#reportState(order, "in_progress");
       case "share": {
         const { share } = step;
-        return this.#deps.trialFollower.write({ service, release, share });
+        return this.#deps.canaryFollower.write({ service, release, share });
       }
       case "complete":
         return this.#reportState(order, "completed");
@@ -258,7 +258,7 @@
     order: RollOutOrder,
     state: RollOutState,
   ): Promise<boolean> {
-    const done = await this.#deps.rollOutFollower.report(order, state);
+    const done = await this.#deps.rollOutFollower.writeState(order, state);
     this.#deps.logger.info("Roll-out state reported", {
       service: order.service,
       release: order.release,
--- a/src/store/trial_follower.ts
+++ b/src/store/canary_follower.ts
@@ -1,4 +1,4 @@
-/** Follows and writes how far trials have come: objects of our own kind in the store. */
+/** Follows and writes the state of canaries, each an object of a kind of its own in the store. */
 
 import * as z from "zod";
 import type { ReleaseId, ServiceId } from "../core/ids.ts";
@@ -14,14 +14,12 @@
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
-/** Kind of the objects. */
-const TRIAL_KIND = "fieldrack-trials";
-/** Longest wait for the answer to a write. */
+const CANARY_KIND = "fieldrack-trials";
 const WRITE_TIMEOUT_MS = 1_000;
 
-const trialSchema = z.object({
+const canarySchema = z.object({
   service: z.string().transform((text) => text as ServiceId),
   release: z.string().transform((text) => text as ReleaseId),
   share: z.number().min(0).max(1),
@@ -29,7 +27,7 @@
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly releaseGate: ReleaseGate;
   readonly clock: Clock;
@@ -37,27 +35,26 @@
   readonly chance: () => number;
 }
 
-/** Keeps the release gate true to the trials. */
-export class TrialFollower implements KindListener {
+/** Applies canaries to the release gate. */
+export class CanaryFollower implements KindListener {
   readonly #deps: Deps;
-  /** Its copy of the kind, to exchange with other VMs. */
+  /** Follower of the kind, whose changes are exchanged with other VMs. */
   readonly follower: KindFollower;
+  /** Last revision of each object, by name. */
   readonly #revisions = new Map<string, number>();
 
   constructor(deps: Deps) {
     this.#deps = deps;
     this.follower = new KindFollower(deps, {
-      kind: TRIAL_KIND,
+      kind: CANARY_KIND,
       listener: this,
     });
   }
 
-  /** Starts to follow. */
   start(): void {
     this.follower.start();
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.follower.stop();
   }
@@ -68,26 +65,26 @@
 
   changed(object: StoredObject): void {
     const { releaseGate, logger } = this.#deps;
-    const parsed = trialSchema.safeParse(object.spec);
+    const parsed = canarySchema.safeParse(object.spec);
     if (!parsed.success) {
-      logger.warn("Trial is not understood", { object: object.name });
+      logger.warn("Canary could not be decoded", { object: object.name });
       return;
     }
     this.#revisions.set(object.name, object.revision);
     releaseGate.setTrial(parsed.data);
-    logger.info("Trial changed", { ...parsed.data });
+    logger.info("Canary changed", { ...parsed.data });
   }
 
   deleted(object: StoredObject): void {
     this.#revisions.delete(object.name);
   }
 
-  /** Writes how far a trial has come, unless another VM has written meanwhile. */
-  async write(trial: Trial): Promise<boolean> {
+  /** Writes the state of a canary, unless another VM has written a later revision. */
+  async write(canary: Trial): Promise<boolean> {
     const { objectStore, logger } = this.#deps;
-    const key = { kind: TRIAL_KIND, name: trial.service };
-    const revision = this.#revisions.get(trial.service);
-    const call = { timeoutMs: WRITE_TIMEOUT_MS, spec: trial };
+    const key = { kind: CANARY_KIND, name: canary.service };
+    const revision = this.#revisions.get(canary.service);
+    const call = { timeoutMs: WRITE_TIMEOUT_MS, spec: canary };
     const written = revision === undefined
       ? await objectStore.create(key, call)
       : await objectStore.replace(key, { ...call, revision });
@@ -98,8 +95,8 @@
     if (written.error.tag === "conflict" && written.error.current) {
       this.changed(written.error.current);
     }
-    logger.info("Trial was not written", {
-      ...trial,
+    logger.info("Could not write a canary", {
+      ...canary,
       reason: describeStoreError(written.error),
     });
     return false;
--- a/src/store/crash_registry.ts
+++ b/src/store/crash_registry.ts
@@ -1,6 +1,7 @@
 /**
- * Requests that crash servers, as objects of our own kind in the store, one for each: no VM has
- * a disk, and when all of them end at once, none would remember. Few VMs write and read them.
+ * Persists requests that crash servers, each as an object of a kind of its own in the store. VMs
+ * have no disk, so that the records would be lost if all VMs stopped together. Only a few VMs
+ * write and read them.
  */
 
 import * as z from "zod";
@@ -16,25 +17,26 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 
-/** Kind of the objects. */
 const CRASH_KIND = "fieldrack-crashes";
-/** Longest wait for an answer. */
 const CALL_TIMEOUT_MS = 1_000;
-/** Time between calls, while there is something to read or to write. */
-const CALL_EVERY_MS = 2_000;
+/** Minimum time between calls of the store. */
+const CALL_INTERVAL_MS = 2_000;
 /**
- * A request is written once its last crash was this long ago: it is then no longer one that was
- * beside another, whose news had not come yet, and takes one write instead of several.
+ * Time between the last crash of a request and its write. By then the reports of other VMs have
+ * arrived, which may show that another request caused the crashes, and one write suffices.
  */
-const WRITE_AFTER_MS = 1_000;
-/** Requests that one process writes, at most; the store keeps what nobody removes. */
-const MOST_WRITTEN = 200;
+const WRITE_DELAY_MS = 1_000;
+/**
+ * Number of known stored requests at which writing stops, as the store keeps objects until they
+ * are deleted.
+ */
+const MAX_STORED_REQUESTS = 200;
 
 const crashSchema = z.object({
   life: z.string(),
   address: z.string(),
   after: z.array(z.string()),
-  /** By the time of day of the VM that wrote it. */
+  /** By the wall clock of the VM that wrote it. */
   beganAtMs: z.number(),
   endedAtMs: z.number(),
   serviceSize: z.number(),
@@ -52,56 +54,56 @@
   readonly logger: Logger;
 }
 
-/** Writes requests that crash servers down, and reads those that others have written. */
+/** Writes requests that crash servers to the store and reads those that other VMs have written. */
 export class CrashRegistry {
   readonly #deps: Deps;
-  /** Crashes of each request that stand in the store, as far as this VM knows. */
-  readonly #written = new Map<RequestKey, number>();
-  #calledAtMs = -Infinity;
-  #read = false;
+  /** Number of crashes in the store for each request, as last read or written here. */
+  readonly #storedCrashes = new Map<RequestKey, number>();
+  #lastCallMs = -Infinity;
+  #hasRead = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Reads once what is there, then writes what is new; returns what was read. */
-  async update(): Promise<readonly Crash[]> {
+  /** Reads the stored crashes once, then writes new ones; returns the crashes that were read. */
+  async sync(): Promise<readonly Crash[]> {
     const nowMs = this.#deps.clock.monotonicMs();
-    if (nowMs - this.#calledAtMs < CALL_EVERY_MS) return [];
-    if (!this.#read) {
-      this.#calledAtMs = nowMs;
-      return await this.#readAll();
+    if (nowMs - this.#lastCallMs < CALL_INTERVAL_MS) return [];
+    if (!this.#hasRead) {
+      this.#lastCallMs = nowMs;
+      return await this.#readStored();
     }
-    const request = this.#unwritten(nowMs);
+    const request = this.#nextUnstored(nowMs);
     if (request === undefined) return [];
-    this.#calledAtMs = nowMs;
+    this.#lastCallMs = nowMs;
     await this.#write(request);
     return [];
   }
 
-  #unwritten(nowMs: number): RequestKey | undefined {
+  #nextUnstored(nowMs: number): RequestKey | undefined {
     const { crashBook } = this.#deps;
-    if (this.#written.size >= MOST_WRITTEN) return undefined;
+    if (this.#storedCrashes.size >= MAX_STORED_REQUESTS) return undefined;
     return [...crashBook.poison].find((request) => {
       const crashes = crashBook.crashesOf(request);
       const lastMs = Math.max(...crashes.map(({ endedMs }) => endedMs));
-      return nowMs - lastMs >= WRITE_AFTER_MS &&
-        crashes.length > (this.#written.get(request) ?? 0);
+      return nowMs - lastMs >= WRITE_DELAY_MS &&
+        crashes.length > (this.#storedCrashes.get(request) ?? 0);
     });
   }
 
-  async #readAll(): Promise<readonly Crash[]> {
+  async #readStored(): Promise<readonly Crash[]> {
     const { objectStore, logger } = this.#deps;
     const listing = await objectStore.list(CRASH_KIND, {
       timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!listing.ok) {
-      logger.info("Requests that crash servers were not read", {
+      logger.info("Could not read the stored requests that crash servers", {
         reason: describeStoreError(listing.error),
       });
       return [];
     }
-    this.#read = true;
+    this.#hasRead = true;
     return listing.value.objects.flatMap((object) => this.#decode(object));
   }
 
@@ -109,7 +111,7 @@
     const { clock, logger } = this.#deps;
     const parsed = recordSchema.safeParse(spec);
     if (!parsed.success) {
-      logger.warn("Request that crashes servers is not understood", {
+      logger.warn("Stored request that crashes servers could not be decoded", {
         object: name,
         reason: parsed.error.message,
       });
@@ -117,9 +119,9 @@
     }
     const request = name as RequestKey;
     const { account, crashes } = parsed.data;
-    this.#written.set(request, crashes.length);
+    this.#storedCrashes.set(request, crashes.length);
     const nowMs = clock.monotonicMs();
-    // Another VM's time of day: nothing is taken to lie ahead.
+    // The wall clock of another VM may be ahead: no crash is dated in the future.
     const ageMs = (atMs: number) => Math.max(0, clock.wallMs() - atMs);
     return crashes.map(({ beganAtMs, endedAtMs, ...crash }) => ({
       ...crash,
@@ -140,17 +142,17 @@
       timeoutMs: CALL_TIMEOUT_MS,
       spec: this.#encode(crashes),
     };
-    let done = await objectStore.create(key, call);
-    if (!done.ok && done.error.tag === "conflict" && done.error.current) {
-      const { revision } = done.error.current;
-      done = await objectStore.replace(key, { ...call, revision });
+    let result = await objectStore.create(key, call);
+    if (!result.ok && result.error.tag === "conflict" && result.error.current) {
+      const { revision } = result.error.current;
+      result = await objectStore.replace(key, { ...call, revision });
     }
-    if (done.ok) this.#written.set(request, crashes.length);
-    logger.info("Request that crashes servers was written", {
+    if (result.ok) this.#storedCrashes.set(request, crashes.length);
+    logger.info("Write of a request that crashes servers completed", {
       request,
       crashes: crashes.length,
-      written: done.ok,
-      reason: done.ok ? undefined : describeStoreError(done.error),
+      written: result.ok,
+      reason: result.ok ? undefined : describeStoreError(result.error),
     });
   }
 
--- a/src/store/crash_registry_test.ts
+++ b/src/store/crash_registry_test.ts
@@ -10,9 +10,9 @@
 
 const KIND = "fieldrack-crashes";
 const REQUEST = "poison" as RequestKey;
-/** Between calls of one registry, and after the last crash. */
+/** Longer than the interval between calls and the delay of writes. */
 const STEP_MS = 3_000;
-/** Time of day at the start of the first VM's monotonic clock. */
+/** Wall clock time at the start of the first VM's monotonic clock. */
 const WALL_MS = 1_700_000_000_000;
 
 let store: ObjectStoreStandin;
@@ -28,16 +28,16 @@
   await store.close();
 });
 
-/** A VM that started so long after the first one. */
+/** A VM that started `startedMs` after the first one. */
 class Vm {
-  readonly book = new CrashBook();
+  readonly history = new CrashBook();
   readonly #registry: CrashRegistry;
   nowMs = 0;
 
   constructor(startedMs = 0) {
     this.#registry = new CrashRegistry({
       objectStore: client,
-      crashBook: this.book,
+      crashBook: this.history,
       clock: {
         monotonicMs: () => this.nowMs,
         wallMs: () => WALL_MS + startedMs + this.nowMs,
@@ -46,19 +46,19 @@
     });
   }
 
-  /** Waits a while, then reads or writes what is due. */
+  /** Advances the clock, then synchronizes with the store. */
   async step(): Promise<void> {
     this.nowMs += STEP_MS;
-    const read = await this.#registry.update();
-    for (const crash of read) this.book.note(crash, this.nowMs);
+    const read = await this.#registry.sync();
+    for (const crash of read) this.history.note(crash, this.nowMs);
   }
 
-  /** Sees servers end under a request, one each second. */
+  /** Records crashes of servers under a request, one each second. */
   crash(request: RequestKey, count: number): void {
     for (let n = 0; n < count; n++) {
       this.nowMs += 1_000;
-      const before = this.book.crashesOf(request);
-      this.book.note(crashAt(this.nowMs, { request, before }), this.nowMs);
+      const before = this.history.crashesOf(request);
+      this.history.note(crashAt(this.nowMs, { request, before }), this.nowMs);
     }
   }
 }
@@ -81,18 +81,18 @@
 }
 
 describe("registry of requests that crash servers", () => {
-  it("should let a VM know that starts after all others have ended", async () => {
+  it("should restore a quarantine on a VM that starts after all others have stopped", async () => {
     const first = new Vm();
     await first.step();
     first.crash(REQUEST, 3);
     await first.step();
     const second = new Vm(60_000);
     await second.step();
-    const standing = second.book.standing(REQUEST, second.nowMs + STEP_MS);
-    assert.equal(standing.tag, "quarantined");
+    const status = second.history.standing(REQUEST, second.nowMs + STEP_MS);
+    assert.equal(status.tag, "quarantined");
   });
 
-  it("should write nothing of requests that are only suspected", async () => {
+  it("should not write requests that are only suspected", async () => {
     const vm = new Vm();
     await vm.step();
     vm.crash(REQUEST, 2);
@@ -100,7 +100,7 @@
     assert.deepEqual(store.kinds.list(KIND), []);
   });
 
-  it("should write a request once, whatever it hears again, and again for a new crash", async () => {
+  it("should write a request once, and again only for a new crash", async () => {
     const vm = new Vm();
     await vm.step();
     vm.crash(REQUEST, 3);
@@ -115,7 +115,7 @@
     assert.equal(crashes.length, 4);
   });
 
-  it("should pass over objects that it does not understand", async () => {
+  it("should skip objects that cannot be decoded", async () => {
     const first = new Vm();
     await first.step();
     first.crash(REQUEST, 3);
@@ -123,10 +123,10 @@
     store.kinds.put(KIND, { name: "other", spec: { crashes: "none" } });
     const second = new Vm(60_000);
     await second.step();
-    assert.deepEqual([...second.book.poison], [REQUEST]);
+    assert.deepEqual([...second.history.poison], [REQUEST]);
   });
 
-  it("should read again where the store was away", async () => {
+  it("should read again after the store was unavailable", async () => {
     const first = new Vm();
     await first.step();
     first.crash(REQUEST, 3);
@@ -134,9 +134,9 @@
     store.setFaults({ down: true });
     const second = new Vm(60_000);
     await second.step();
-    assert.ok(second.book.isEmpty);
+    assert.ok(second.history.isEmpty);
     store.setFaults({});
     await second.step();
-    assert.deepEqual([...second.book.poison], [REQUEST]);
+    assert.deepEqual([...second.history.poison], [REQUEST]);
   });
 });
--- a/src/store/evacuation_follower.ts
+++ b/src/store/evacuation_follower.ts
@@ -1,4 +1,4 @@
-/** Follows orders to evacuate data centres. */
+/** Follows the evacuation orders for data centres. */
 
 import type { DataCentreId } from "../core/ids.ts";
 import type { ServerDirectory } from "../core/servers/server_directory.ts";
@@ -14,20 +14,20 @@
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
 /**
- * Age that news of the store may have where they come to a VM last, in milliseconds: 2.1 s
- * until a relay stands in for readers that are lost, and 0.8 s from a relay to its followers.
+ * Maximum time for a change of the store to reach all VMs: 2.1 s until a relay stands in for
+ * unreachable readers, and 0.8 s from a relay to its followers.
  */
-const NEWS_MS = 2_900;
+const MAX_PROPAGATION_MS = 2_900;
 
 /** Called with the servers of a data centre that takes new work again. */
-export type ReturnListener = (servers: readonly ServerRecord[]) => void;
+export type EvacuationEndListener = (servers: readonly ServerRecord[]) => void;
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly serverDirectory: ServerDirectory;
   readonly bounds: DeploymentBounds;
@@ -37,15 +37,15 @@
 }
 
 /**
- * Keeps new work from the servers of evacuated data centres. An order stays in force until
- * it is known to be taken back, also while the store is away.
+ * Excludes the servers of evacuated data centres from new work. An order stays in force until its
+ * deletion is seen, also while the store is unavailable.
  */
 export class EvacuationFollower implements KindListener {
   readonly #deps: Deps;
-  /** Its copy of the kind, to exchange with other VMs. */
+  /** Follower of the kind, whose changes are exchanged with other VMs. */
   readonly follower: KindFollower;
-  readonly #listeners: ReturnListener[] = [];
-  #listedOnce = false;
+  readonly #listeners: EvacuationEndListener[] = [];
+  #hasListed = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
@@ -56,43 +56,44 @@
   }
 
   /**
-   * Whether data centres are ever evacuated in this deployment. Where they are not, the kind
-   * is not read: each VM's first list of it and each reader's watch would be paid for nothing.
+   * Whether this deployment evacuates data centres. If not, the kind is not read, which saves the
+   * billed first list of each VM and the watch of each reader.
    */
-  get followed(): boolean {
+  get isEnabled(): boolean {
     return this.#deps.bounds.evacuationMs !== undefined;
   }
 
-  /** Whether the orders are known; before that, no server may be given work. */
+  /** Whether the orders have been read; until then no server may get work. */
   get ready(): boolean {
-    return this.#listedOnce || !this.followed;
+    return this.#hasListed || !this.isEnabled;
   }
 
-  /** Starts to follow. */
   start(): void {
     const { bounds, logger } = this.#deps;
     if (bounds.evacuationMs === undefined) return;
-    if (bounds.evacuationMs < NEWS_MS) {
-      logger.warn("Time allowed for an evacuation is shorter than news take", {
-        allowed_ms: bounds.evacuationMs,
-        news_ms: NEWS_MS,
-      });
+    if (bounds.evacuationMs < MAX_PROPAGATION_MS) {
+      logger.warn(
+        "Time allowed for an evacuation is shorter than the propagation of a change",
+        {
+          allowed_ms: bounds.evacuationMs,
+          news_ms: MAX_PROPAGATION_MS,
+        },
+      );
     }
     this.follower.start();
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.follower.stop();
   }
 
   /** Registers a listener for data centres that take new work again. */
-  onReturn(listener: ReturnListener): void {
+  onEvacuationEnd(listener: EvacuationEndListener): void {
     this.#listeners.push(listener);
   }
 
   listed(objects: readonly StoredObject[]): void {
-    this.#listedOnce = true;
+    this.#hasListed = true;
     for (const object of objects) this.changed(object);
   }
 
@@ -121,7 +122,7 @@
       revision,
       servers: serverDirectory.serversIn(dataCentre).length,
       evacuated: [...serverDirectory.evacuated].join(","),
-      store_lost_here: storeHealth.lostHere,
+      store_lost_here: storeHealth.lastCallFailed,
     });
   }
 }
--- a/src/store/kind_follower.ts
+++ b/src/store/kind_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows all objects of one kind: by a list and then by long watches of the store, or by
- * what other VMs tell, which have followed it themselves.
+ * Keeps a local cache of all objects of one kind up to date: either from the store, by a list and
+ * then long-poll watches, or from updates sent by other VMs that read the store.
  */
 
 import type { ObjectStore, StoreError } from "../platform/object_store.ts";
@@ -8,37 +8,40 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import { pause } from "../runtime/pause.ts";
-import { type CopyNews, type KindChanges, KindCopy } from "./kind_copy.ts";
+import {
+  type AppliedChanges,
+  KindCache,
+  type KindChanges,
+} from "./kind_cache.ts";
 import type { KindListener } from "./kind_listener.ts";
-import { asksStore, retryPauseMs, type StoreAccess } from "./store_access.ts";
+import { readsStore, retryDelayMs, type StoreAccess } from "./store_access.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
-/** Longest wait of one watch; the store counts each watch as a call, and takes 30 s. */
-const WATCH_WAIT_MS = 25_000;
-/** Longest wait for a list. */
+/** Long-poll duration of one watch. The store bills each watch as a call and allows 30 s. */
+const WATCH_TIMEOUT_MS = 25_000;
 const LIST_TIMEOUT_MS = 1_500;
 /**
- * Pause before the first watch, in milliseconds. A VM that has just started finds a relay to
- * follow in this time, also where many come back together, and then needs no watch; a watch tells
- * of what has changed meanwhile.
+ * Delay before the first watch. In this time a VM that has just started finds a relay to follow,
+ * even if many VMs restart together, and then needs no watch of its own. A watch opened after the
+ * delay still returns the changes made in the meantime.
  */
-const SETTLE_MS = 2_000;
-/** Time between looks whether the store is back. */
-const STANDBY_MS = 100;
-/** Longest wait for the store's return before a list is tried all the same. */
-const AWAY_WAIT_MS = 2_000;
+const FIRST_WATCH_DELAY_MS = 2_000;
+/** Interval at which a follower checks whether the store is reachable again. */
+const REACHABILITY_POLL_INTERVAL_MS = 100;
+/** Maximum wait for the store to become reachable before a list is attempted anyway. */
+const MAX_REACHABILITY_WAIT_MS = 2_000;
 
 /**
- * Pause after changes, so that those that come in quick succession take one call: each
- * watch is counted. Small beside the seconds in which changes must be in force.
+ * Pause after each watch that returned changes, so that changes in quick succession take one
+ * billed watch. Short compared with the seconds within which a change must take effect.
  */
-const BATCH_PAUSE_MS = 120;
+const BATCH_DELAY_MS = 120;
 
-/** What a follower works with. */
+/** Dependencies of a follower. */
 export interface KindFollowerDeps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -50,54 +53,55 @@
   readonly kind: string;
   readonly #deps: KindFollowerDeps;
   readonly #listener: KindListener;
-  readonly #copy: KindCopy;
-  readonly #dateMs: () => number;
+  readonly #cache: KindCache;
+  readonly #timestampMs: () => number;
   #watch = new AbortController();
   #access: StoreAccess = "reader";
-  #mustList = true;
-  #settled = false;
-  /** Revision up to which own reads have shown that the copy misses nothing. */
+  #needsList = true;
+  #firstWatchAllowed = false;
+  /** Revision up to which reads by this VM have shown that the cache lacks no change. */
   #verifiedRevision = 0;
-  #onNews: () => void = () => {};
-  /** Ends the wait of a VM that does not ask the store. */
-  #wake: () => void = () => {};
+  #onUpdate: () => void = () => {};
+  /** Resumes the loop of a VM that does not read the store. */
+  #resume: () => void = () => {};
   #stopped = false;
 
   constructor(
     deps: KindFollowerDeps,
-    { kind, listener, dateMs }: {
+    { kind, listener, timestampMs }: {
       kind: string;
       listener: KindListener;
-      /** Dates whole reads; by the steady clock where it is left out. */
-      dateMs?: () => number;
+      /** Clock for the start times of lists; the monotonic clock by default. */
+      timestampMs?: () => number;
     },
   ) {
     this.#deps = deps;
-    this.#dateMs = dateMs ?? (() => deps.clock.monotonicMs());
+    this.#timestampMs = timestampMs ?? (() => deps.clock.monotonicMs());
     this.kind = kind;
     this.#listener = listener;
-    this.#copy = new KindCopy(kind);
-    // A watch that was open while the store was away may wait on a dead connection.
-    deps.storeHealth.onBack(() => this.relist());
+    this.#cache = new KindCache(kind);
+    // A watch opened before the store became unreachable may be waiting on a dead connection.
+    deps.storeHealth.onRecovered(() => this.relist());
   }
 
-  /** Revision up to which all changes are known here; undefined before the first list. */
+  /** Revision up to which the cache is complete; undefined before the first list. */
   get revision(): number | undefined {
-    return this.#copy.revision;
+    return this.#cache.revision;
   }
 
-  /** Revision up to which own reads have shown that nothing was missed. */
+  /** Revision up to which reads by this VM have shown that no change was missed. */
   get verifiedRevision(): number {
     return this.#verifiedRevision;
   }
 
   /** Whether changes are expected from a watch, rather than from a list or from other VMs. */
-  get watches(): boolean {
-    return asksStore(this.#access) && this.#settled && !this.#mustList;
+  get isWatching(): boolean {
+    return readsStore(this.#access) && this.#firstWatchAllowed &&
+      !this.#needsList;
   }
 
-  /** Notes that the store is at a revision; returns whether no change up to it was missed. */
-  verify(revision: number): boolean {
+  /** Records that the store is at a revision; returns whether every change up to it was seen. */
+  verifyUpTo(revision: number): boolean {
     const after = this.#verifiedRevision;
     if (revision <= after) return true;
     if (!this.#deps.seenRevisions.hasAll({ after, upTo: revision })) {
@@ -107,124 +111,123 @@
     return true;
   }
 
-  /** Starts to follow. */
   start(): void {
     void this.#run();
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.#stopped = true;
     this.#watch.abort();
-    this.#wake();
+    this.#resume();
   }
 
-  /** Whether to ask the store, or to wait for what other VMs tell. */
+  /** Sets whether this VM reads the store or waits for updates from other VMs. */
   setAccess(access: StoreAccess): void {
-    const asked = asksStore(this.#access);
+    const readBefore = readsStore(this.#access);
     this.#access = access;
-    if (asksStore(access) === asked) return;
-    if (asked) this.#watch.abort();
-    else this.#wake();
+    if (readsStore(access) === readBefore) return;
+    if (readBefore) this.#watch.abort();
+    else this.#resume();
   }
 
-  /** Reads the whole list at once instead of waiting for changes. */
+  /** Aborts the current watch and reads the complete list. */
   relist(): void {
-    this.#mustList = true;
+    this.#needsList = true;
     this.#watch.abort();
   }
 
-  /** Sets what is called whenever objects have changed here. */
-  onNews(listener: () => void): void {
-    this.#onNews = listener;
+  /** Sets the callback for changes of the cached objects. */
+  onUpdate(listener: () => void): void {
+    this.#onUpdate = listener;
   }
 
-  /** Changes that a VM does not know which knows all up to a revision. */
+  /** Changes that a VM lacks whose cache is complete up to the given revision. */
   changesSince(revision: number | undefined): KindChanges | undefined {
-    return this.#copy.changesSince(revision);
+    return this.#cache.changesSince(revision);
   }
 
-  /** Takes in what another VM has told. */
-  hear(changes: KindChanges): void {
-    const isFirst = this.#copy.revision === undefined;
-    this.#settled = true;
-    // Removed objects may bear the revision of the list in which they were missed.
+  /** Applies changes received from another VM. */
+  receive(changes: KindChanges): void {
+    const isFirst = this.#cache.revision === undefined;
+    this.#firstWatchAllowed = true;
+    // Only `objects`: a removed object may carry the revision of the list that it was absent from.
     for (const { revision } of changes.objects) {
-      this.#deps.seenRevisions.note(revision);
+      this.#deps.seenRevisions.add(revision);
     }
-    this.#tell(() => this.#copy.takeChanges(changes));
-    // All that a list would bring; what came since, a watch brings.
-    if (isFirst && this.#copy.revision !== undefined) this.#mustList = false;
+    this.#apply(() => this.#cache.applyChanges(changes));
+    // These changes replace the initial list; a watch returns what has changed since.
+    if (isFirst && this.#cache.revision !== undefined) this.#needsList = false;
   }
 
   async #run(): Promise<void> {
     while (!this.#stopped) {
-      if (!asksStore(this.#access)) {
-        await new Promise<void>((resolve) => this.#wake = resolve);
+      if (!readsStore(this.#access)) {
+        await new Promise<void>((resolve) => this.#resume = resolve);
         continue;
       }
-      const { revision } = this.#copy;
-      const err = this.#mustList || revision === undefined
+      const { revision } = this.#cache;
+      const err = this.#needsList || revision === undefined
         ? await this.#list()
-        : await this.#follow(revision);
+        : await this.#watchOnce(revision);
       if (err !== undefined && !this.#stopped) await this.#recover(err);
     }
   }
 
   async #list(): Promise<StoreError | undefined> {
     this.#watch = new AbortController();
-    this.#mustList = false;
+    this.#needsList = false;
     const { signal } = this.#watch;
-    const startedMs = this.#dateMs();
+    const startedMs = this.#timestampMs();
     const listing = await this.#deps.objectStore.list(this.kind, {
       timeoutMs: LIST_TIMEOUT_MS,
       signal,
     });
     if (signal.aborted) return undefined;
     if (!listing.ok) {
-      this.#deps.storeHealth.failed(describeStoreError(listing.error));
+      this.#deps.storeHealth.recordFailure(describeStoreError(listing.error));
       return listing.error;
     }
-    this.#deps.storeHealth.answered();
+    this.#deps.storeHealth.recordSuccess();
     const { revision } = listing.value;
-    this.#tell(() => this.#copy.takeList(listing.value));
+    this.#apply(() => this.#cache.applyList(listing.value));
     this.#verifiedRevision = Math.max(this.#verifiedRevision, revision);
-    this.#listener.read?.(startedMs);
+    this.#listener.refreshed?.(startedMs);
     return undefined;
   }
 
-  async #follow(revision: number): Promise<StoreError | undefined> {
-    if (!this.#settled) {
-      this.#settled = true;
-      await pause(SETTLE_MS);
+  async #watchOnce(revision: number): Promise<StoreError | undefined> {
+    if (!this.#firstWatchAllowed) {
+      this.#firstWatchAllowed = true;
+      await pause(FIRST_WATCH_DELAY_MS);
       return undefined;
     }
     this.#watch = new AbortController();
     const { signal } = this.#watch;
     const changes = await this.#deps.objectStore.watch(this.kind, {
       revision: Math.max(revision, this.#verifiedRevision),
-      waitMs: WATCH_WAIT_MS,
-      timeoutMs: WATCH_WAIT_MS,
+      waitMs: WATCH_TIMEOUT_MS,
+      timeoutMs: WATCH_TIMEOUT_MS,
       signal,
     });
     if (signal.aborted) return undefined;
     if (!changes.ok) return changes.error;
     const { events, revision: until } = changes.value;
-    // A watch that was stuck answers nothing at a later revision: only reads go on from there.
+    // A stalled watch may return a later revision without the changes before it, so that a
+    // response without events does not advance the revision; only reads do.
     if (events.length === 0) return undefined;
     for (const { object } of events) {
-      this.#deps.seenRevisions.note(object.revision);
+      this.#deps.seenRevisions.add(object.revision);
     }
-    this.#tell(() => this.#copy.takeEvents(events, until));
-    await pause(BATCH_PAUSE_MS);
+    this.#apply(() => this.#cache.applyEvents(events, until));
+    await pause(BATCH_DELAY_MS);
     return undefined;
   }
 
-  #tell(take: () => CopyNews): void {
-    const isFirst = this.#copy.revision === undefined;
-    const { changed, removed } = take();
-    if (changed.length + removed.length > 0) this.#onNews();
-    if (isFirst && this.#copy.revision !== undefined) {
+  #apply(update: () => AppliedChanges): void {
+    const isFirst = this.#cache.revision === undefined;
+    const { changed, removed } = update();
+    if (changed.length + removed.length > 0) this.#onUpdate();
+    if (isFirst && this.#cache.revision !== undefined) {
       this.#listener.listed(changed);
       return;
     }
@@ -233,22 +236,26 @@
   }
 
   async #recover(err: StoreError): Promise<void> {
-    this.#mustList = true;
-    this.#deps.logger.info("List of the store is read again", {
+    this.#needsList = true;
+    this.#deps.logger.info("Reading the list of a kind again", {
       kind: this.kind,
       reason: describeStoreError(err),
     });
-    // History that is lost says nothing about whether the store answers.
+    // Expired change history does not mean that the store is unreachable.
     if (err.tag === "history_lost") return;
-    await pause(retryPauseMs(this.#access, this.#deps.chance()));
+    await pause(retryDelayMs(this.#access, this.#deps.chance()));
     await this.#awaitStore();
   }
 
-  /** One reader finds out when the store is back, so that not every kind has to ask. */
+  /** Lets one reader detect that the store is reachable again, to avoid a call for each kind. */
   async #awaitStore(): Promise<void> {
-    for (let waitedMs = 0; waitedMs < AWAY_WAIT_MS; waitedMs += STANDBY_MS) {
+    for (
+      let waitedMs = 0;
+      waitedMs < MAX_REACHABILITY_WAIT_MS;
+      waitedMs += REACHABILITY_POLL_INTERVAL_MS
+    ) {
       if (this.#stopped || this.#deps.storeHealth.health.reachable) return;
-      await pause(STANDBY_MS);
+      await pause(REACHABILITY_POLL_INTERVAL_MS);
     }
   }
 }
--- a/src/store/kind_listener.ts
+++ b/src/store/kind_listener.ts
@@ -1,15 +1,15 @@
-/** Who wants to know of the objects of a kind. */
+/** Receives the objects of a kind from its follower. */
 
 import type { StoredObject } from "../platform/object_store.ts";
 
-/** Told of the first list, and then of each change. */
+/** Called with the first list, and then for each change. */
 export interface KindListener {
-  /** All objects, once, when they are first known. */
+  /** All objects; called once, with the first list. */
   listed(objects: readonly StoredObject[]): void;
-  /** One object was made or changed. */
+  /** An object was created or updated. */
   changed(object: StoredObject): void;
-  /** One object is gone. */
+  /** An object was deleted. */
   deleted(object: StoredObject): void;
-  /** All was read from the store, by a read that began then and cannot be stale. */
-  read?(startedMs: number): void;
+  /** A complete list was read from the store; the read began at `startedMs` and cannot be stale. */
+  refreshed?(startedMs: number): void;
 }
--- a/src/store/missed_change_detector.ts
+++ b/src/store/missed_change_detector.ts
@@ -1,6 +1,6 @@
 /**
- * Finds changes that no watch has told of. A watch may hear nothing for long: its connection
- * has died one way, or the store serves reads while its watches are stuck.
+ * Detects changes that a watch did not deliver. A watch may stay without events for long: its
+ * connection has failed in one direction, or the store serves reads while its watches are stuck.
  */
 
 import type { Clock } from "../runtime/clock.ts";
@@ -9,17 +9,17 @@
 import type { KindFollower } from "./kind_follower.ts";
 
 /**
- * Time that a watch has to tell of a change which a read shows to exist, in milliseconds. Above
- * the pause between two watches.
+ * Time allowed for a watch to deliver a change that a read has shown to exist. Longer than the
+ * pause between two watches.
  */
-const WATCH_DELAY_MS = 250;
+const MAX_WATCH_LAG_MS = 250;
 
 interface Deps {
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** Compares the store's revision with what the followers of all kinds have seen. */
+/** Compares the revision of the store with the changes that all followers have seen. */
 export class MissedChangeDetector {
   readonly #deps: Deps;
   #followers: readonly KindFollower[] = [];
@@ -34,16 +34,16 @@
     this.#followers = followers;
   }
 
-  /** Lists each kind that may have changed, unseen here, up to a revision that a read has shown. */
+  /** Relists each kind that may lack a change up to a revision that a read has returned. */
   async check(revision: number): Promise<void> {
-    if (this.#checking || this.#behind(revision).length === 0) return;
+    if (this.#checking || this.#unverified(revision).length === 0) return;
     this.#checking = true;
     const { clock, logger } = this.#deps;
     const startedMs = clock.monotonicMs();
-    await pause(WATCH_DELAY_MS);
+    await pause(MAX_WATCH_LAG_MS);
     this.#checking = false;
-    for (const follower of this.#behind(revision)) {
-      logger.info("Watch may have missed a change; the kind is listed", {
+    for (const follower of this.#unverified(revision)) {
+      logger.info("Watch may have missed a change; relisting the kind", {
         kind: follower.kind,
         verified_revision: follower.verifiedRevision,
         store_revision: revision,
@@ -53,9 +53,9 @@
     }
   }
 
-  #behind(revision: number): KindFollower[] {
+  #unverified(revision: number): KindFollower[] {
     return this.#followers.filter((follower) =>
-      follower.watches && !follower.verify(revision)
+      follower.isWatching && !follower.verifyUpTo(revision)
     );
   }
 }
--- a/src/store/missed_change_detector_test.ts
+++ b/src/store/missed_change_detector_test.ts
@@ -1,6 +1,6 @@
 /**
- * Watches tell of some changes and lose others, in any order. Whatever they lose, a read of the
- * store's revision brings each kind's copy up to the store.
+ * Watches deliver some changes and lose others, in any order. Whichever they lose, a read of the
+ * store's revision must bring the cache of each kind up to date.
  */
 
 import assert from "node:assert/strict";
@@ -17,7 +17,7 @@
 import { KindFollower } from "./kind_follower.ts";
 import { MissedChangeDetector } from "./missed_change_detector.ts";
 import { SeenRevisions } from "./seen_revisions.ts";
-import { StoreHealthKeeper } from "./store_health.ts";
+import { StoreHealthMonitor } from "./store_health_monitor.ts";
 import { until } from "../../tests/fixtures/test_fleet.ts";
 
 const KINDS = ["servers", "evacuations"];
@@ -27,11 +27,11 @@
   readonly kind: string;
   readonly name: string;
   readonly deleted: boolean;
-  /** What the watch of the kind makes of the change. */
-  readonly watch: "tells" | "answers without it" | "hears nothing";
+  /** What the watch of the kind does on the change. */
+  readonly watch: "delivers it" | "returns without it" | "stalls";
 }
 
-/** A store whose watches tell what a test lets them tell. */
+/** A store whose watches deliver only the changes that a test chooses. */
 class LossyStore {
   readonly #kinds = new Map<string, Map<string, StoredObject>>();
   readonly #watches = new Map<string, (changes: StoreChanges) => void>();
@@ -47,9 +47,9 @@
       },
       watch: (kind: string, { signal }: { signal: AbortSignal }) =>
         new Promise((resolve) => {
-          const tell = (changes: StoreChanges) => resolve(ok(changes));
-          this.#watches.set(kind, tell);
-          signal.onabort = () => tell({ events: [], revision: 0 });
+          const deliver = (changes: StoreChanges) => resolve(ok(changes));
+          this.#watches.set(kind, deliver);
+          signal.onabort = () => deliver({ events: [], revision: 0 });
         }),
     } as unknown as ObjectStore;
   }
@@ -68,11 +68,13 @@
     const object = { name, revision, spec: {}, status: null };
     if (deleted) this.#objects(kind).delete(name);
     else this.#objects(kind).set(name, object);
-    if (watch === "hears nothing") return;
-    const events: StoreEvent[] = watch === "tells" ? [{ object, deleted }] : [];
-    const tell = this.#watches.get(kind);
+    if (watch === "stalls") return;
+    const events: StoreEvent[] = watch === "delivers it"
+      ? [{ object, deleted }]
+      : [];
+    const deliver = this.#watches.get(kind);
     this.#watches.delete(kind);
-    tell?.({ events, revision });
+    deliver?.({ events, revision });
   }
 
   #objects(kind: string): Map<string, StoredObject> {
@@ -87,16 +89,16 @@
   const logger = new SilentLogger();
   const deps = {
     objectStore: store.asObjectStore(),
-    storeHealth: new StoreHealthKeeper({ clock: CLOCK, logger }),
+    storeHealth: new StoreHealthMonitor({ clock: CLOCK, logger }),
     seenRevisions,
     clock: CLOCK,
     logger,
     chance: () => 0,
   };
-  const known = new Map<string, Set<string>>();
+  const namesByKind = new Map<string, Set<string>>();
   const followers = KINDS.map((kind) => {
     const names = new Set<string>();
-    known.set(kind, names);
+    namesByKind.set(kind, names);
     const add = ({ name }: StoredObject) => void names.add(name);
     return new KindFollower(deps, {
       kind,
@@ -109,21 +111,21 @@
   });
   const detector = new MissedChangeDetector({ clock: CLOCK, logger });
   detector.setFollowers(followers);
-  return { followers, detector, known };
+  return { followers, detector, namesByKind };
 }
 
-/** Starts the followers before an empty store, and waits for their watches. */
+/** Starts the followers on an empty store and waits until their watches are open. */
 async function watchAll(
   store: LossyStore,
   followers: readonly KindFollower[],
 ): Promise<void> {
-  const nothing = { whole: true, revision: 0, objects: [], removed: [] };
+  const emptyList = { whole: true, revision: 0, objects: [], removed: [] };
   for (const follower of followers) {
-    follower.hear({ kind: follower.kind, ...nothing });
+    follower.receive({ kind: follower.kind, ...emptyList });
     follower.start();
   }
-  const areWatched = () => KINDS.every((kind) => store.isWatched(kind));
-  await until(() => Promise.resolve(areWatched()));
+  const allWatched = () => KINDS.every((kind) => store.isWatched(kind));
+  await until(() => Promise.resolve(allWatched()));
 }
 
 const changes = fc.array(
@@ -132,40 +134,40 @@
     name: fc.constantFrom("a", "b", "c"),
     deleted: fc.boolean(),
     watch: fc.constantFrom(
-      "tells" as const,
-      "answers without it" as const,
-      "hears nothing" as const,
+      "delivers it" as const,
+      "returns without it" as const,
+      "stalls" as const,
     ),
   }),
   { minLength: 1, maxLength: 12 },
 );
 
 describe("detector of missed changes", () => {
-  it("should bring each copy up to the store, whatever watches lose", async () => {
+  it("should bring each cache up to date, whichever changes the watches lose", async () => {
     await fc.assert(
-      fc.asyncProperty(changes, async (played) => {
+      fc.asyncProperty(changes, async (sequence) => {
         const store = new LossyStore();
-        const { followers, detector, known } = followAll(store);
+        const { followers, detector, namesByKind } = followAll(store);
         await watchAll(store, followers);
-        for (const change of played) store.change(change);
+        for (const change of sequence) store.change(change);
         await detector.check(store.revision);
-        const isTrue = (kind: string) =>
-          [...known.get(kind) ?? []].sort().join() ===
+        const isUpToDate = (kind: string) =>
+          [...namesByKind.get(kind) ?? []].sort().join() ===
             store.namesOf(kind).join();
-        await until(() => Promise.resolve(KINDS.every(isTrue)));
+        await until(() => Promise.resolve(KINDS.every(isUpToDate)));
         for (const follower of followers) follower.stop();
       }),
       { seed: 1, numRuns: 40 },
     );
   });
 
-  it("should list nothing where watches have told of all changes", async () => {
+  it("should not relist if the watches have delivered all changes", async () => {
     const store = new LossyStore();
     const { followers, detector } = followAll(store);
     await watchAll(store, followers);
     const { lists } = store;
     for (const kind of KINDS) {
-      store.change({ kind, name: "a", deleted: false, watch: "tells" });
+      store.change({ kind, name: "a", deleted: false, watch: "delivers it" });
     }
     await detector.check(store.revision);
     assert.equal(store.lists, lists);
--- a/src/store/roll_out_follower.ts
+++ b/src/store/roll_out_follower.ts
@@ -1,4 +1,4 @@
-/** Follows orders of roll-outs. */
+/** Follows roll-out orders and writes their state. */
 
 import type { ServiceId } from "../core/ids.ts";
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
@@ -22,14 +22,13 @@
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
-/** Longest wait for the answer to a write. */
 const WRITE_TIMEOUT_MS = 1_000;
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly releaseGate: ReleaseGate;
   readonly clock: Clock;
@@ -37,13 +36,14 @@
   readonly chance: () => number;
 }
 
-/** Keeps the release gate true to the orders. */
+/** Applies roll-out orders to the release gate. */
 export class RollOutFollower implements KindListener {
   readonly #deps: Deps;
-  /** Its copy of the kind, to exchange with other VMs. */
+  /** Follower of the kind, whose changes are exchanged with other VMs. */
   readonly follower: KindFollower;
+  /** Service of each order, by object name. */
   readonly #services = new Map<string, ServiceId>();
-  #listedOnce = false;
+  #hasListed = false;
   #onChange: () => void = () => {};
 
   constructor(deps: Deps) {
@@ -54,57 +54,55 @@
     });
   }
 
-  /** Whether the orders are known; before that, no release may be taken as stable. */
+  /** Whether the orders have been read; until then no release may be treated as stable. */
   get ready(): boolean {
-    return this.#listedOnce;
+    return this.#hasListed;
   }
 
-  /** Sets what is called when an order or its state may have changed. */
+  /** Sets the callback for possible changes of an order or its state. */
   onChange(listener: () => void): void {
     this.#onChange = listener;
   }
 
-  /** Starts to follow. */
   start(): void {
     this.follower.start();
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.follower.stop();
   }
 
   listed(objects: readonly StoredObject[]): void {
-    this.#listedOnce = true;
+    this.#hasListed = true;
     const names = new Set(objects.map(({ name }) => name));
     for (const object of objects) this.changed(object);
     for (const name of [...this.#services.keys()]) {
-      if (!names.has(name)) this.#forget(name);
+      if (!names.has(name)) this.#removeOrder(name);
     }
   }
 
   changed(object: StoredObject): void {
     const decoded = decodeRollOut(object.name, object);
     if (!decoded.ok) {
-      this.#deps.logger.warn("Order of a roll-out is not understood", {
+      this.#deps.logger.warn("Roll-out order could not be decoded", {
         reason: describeDecodeError(decoded.error),
       });
       return;
     }
-    this.#note(object.name, decoded.value);
+    this.#setOrder(object.name, decoded.value);
   }
 
   deleted(object: StoredObject): void {
-    this.#forget(object.name);
+    this.#removeOrder(object.name);
   }
 
   /**
-   * Writes how far a roll-out has come, unless it is decided or has changed meanwhile.
-   * Returns whether it was written.
+   * Writes the state of a roll-out, unless the roll-out is already decided or its order has
+   * changed. Returns whether the state was written.
    */
-  async report(order: RollOutOrder, state: RollOutState): Promise<boolean> {
+  async writeState(order: RollOutOrder, state: RollOutState): Promise<boolean> {
     const { objectStore, logger } = this.#deps;
-    const name = this.#nameOf(order.service);
+    const name = this.#objectNameOf(order.service);
     if (name === undefined) return false;
     const key = { kind: ROLL_OUT_KIND, name };
     const call = { timeoutMs: WRITE_TIMEOUT_MS };
@@ -112,7 +110,7 @@
     if (!read.ok) return false;
     this.changed(read.value);
     const current = this.#deps.releaseGate.order(order.service);
-    if (current === undefined || !mayReport(current, { order, state })) {
+    if (current === undefined || !canWriteState(current, { order, state })) {
       return false;
     }
     const written = await objectStore.replaceStatus(key, {
@@ -124,7 +122,7 @@
       this.changed(written.value);
       return true;
     }
-    logger.info("State of a roll-out was not written", {
+    logger.info("Could not write the state of a roll-out", {
       service: order.service,
       state,
       reason: describeStoreError(written.error),
@@ -132,17 +130,17 @@
     return false;
   }
 
-  #nameOf(service: ServiceId): string | undefined {
-    return [...this.#services].find(([, known]) => known === service)?.[0];
+  #objectNameOf(service: ServiceId): string | undefined {
+    return [...this.#services].find(([, other]) => other === service)?.[0];
   }
 
-  #note(name: string, order: RollOutOrder): void {
+  #setOrder(name: string, order: RollOutOrder): void {
     const { releaseGate, logger } = this.#deps;
-    const known = releaseGate.order(order.service);
+    const prior = releaseGate.order(order.service);
     this.#services.set(name, order.service);
     releaseGate.setOrder(order);
     this.#onChange();
-    if (known?.release === order.release && known.state === order.state) return;
+    if (prior?.release === order.release && prior.state === order.state) return;
     logger.info("Roll-out changed", {
       service: order.service,
       release: order.release,
@@ -151,7 +149,7 @@
     });
   }
 
-  #forget(name: string): void {
+  #removeOrder(name: string): void {
     const service = this.#services.get(name);
     this.#services.delete(name);
     if (service !== undefined) this.#deps.releaseGate.removeOrder(service);
@@ -159,8 +157,8 @@
   }
 }
 
-/** A decided roll-out stays as it is, and a newer order is not reported on by an older. */
-function mayReport(
+/** The state of a decided roll-out is final, and a replaced order no longer reports a state. */
+function canWriteState(
   current: RollOutOrder,
   { order, state }: { order: RollOutOrder; state: RollOutState },
 ): boolean {
--- a/src/store/roll_out_follower_test.ts
+++ b/src/store/roll_out_follower_test.ts
@@ -7,7 +7,7 @@
 import { SilentLogger } from "../runtime/logger.ts";
 import { RollOutFollower } from "./roll_out_follower.ts";
 import { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
 const SERVICE = "tracker" as ServiceId;
 
@@ -18,7 +18,7 @@
   gate = new ReleaseGate();
   follower = new RollOutFollower({
     objectStore: {} as ObjectStore,
-    storeHealth: { onBack: () => {} } as unknown as StoreHealthKeeper,
+    storeHealth: { onRecovered: () => {} } as unknown as StoreHealthMonitor,
     seenRevisions: new SeenRevisions(),
     releaseGate: gate,
     clock: { monotonicMs: () => 1, wallMs: () => 1 },
@@ -38,7 +38,7 @@
 }
 
 describe("follower of roll-outs", () => {
-  it("should begin with the new order where a service is given another release", () => {
+  it("should apply the new order if the target release of a service changes", () => {
     follower.listed([order("a")]);
     follower.changed(order("a", { TargetVersion: "v3" }));
     assert.equal(gate.order(SERVICE)?.release, "v3");
@@ -46,13 +46,13 @@
     assert.equal(gate.order(SERVICE), undefined);
   });
 
-  it("should know the orders once a list has come, also an empty one", () => {
+  it("should be ready after the first list, even if it is empty", () => {
     assert.equal(follower.ready, false);
     follower.listed([]);
     assert.equal(follower.ready, true);
   });
 
-  it("should lose no order beside what another writer has left", () => {
+  it("should not lose an order on arbitrary objects of another writer", () => {
     const fields = ["TargetVersion", "DeadlineS", "State", "more"];
     const event = fc.record({
       spec: fc.oneof(
@@ -67,9 +67,9 @@
       fc.property(fc.array(event, { maxLength: 20 }), (events) => {
         follower.listed([order("a")]);
         for (const { spec, status, how } of events) {
-          const strange = { ...order("x"), spec, status };
-          if (how === "listed") follower.listed([order("a"), strange]);
-          else follower[how](strange);
+          const arbitrary = { ...order("x"), spec, status };
+          if (how === "listed") follower.listed([order("a"), arbitrary]);
+          else follower[how](arbitrary);
           assert.equal(gate.order(SERVICE)?.release, "v2");
         }
       }),
--- a/src/store/routing_follower.ts
+++ b/src/store/routing_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest routing configuration, and how lately it was confirmed. */
+/** Keeps the latest routing configuration and the time of its last confirmation. */
 
 import { configurationChange } from "../core/routes/configuration_change.ts";
 import type { RoutingConfiguration } from "../core/routes/route.ts";
@@ -20,58 +20,58 @@
 import type { TrustClock } from "../runtime/trust_clock.ts";
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
-import { asksStore, retryPauseMs, type StoreAccess } from "./store_access.ts";
+import { readsStore, retryDelayMs, type StoreAccess } from "./store_access.ts";
 import type { MissedChangeDetector } from "./missed_change_detector.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
 /**
- * Confirmations in the time that a change may take to be in force. The watch tells of
- * changes at once; reads are for a watch that hears nothing.
+ * Confirming reads within the time that a change may take to be in force. The watch normally
+ * delivers changes immediately; the reads cover a watch that is stalled.
  */
 const CONFIRMATIONS_PER_APPLY = 1.3;
-/** Confirmations in the time after which a removed key must open nothing. */
+/** Confirming reads within the time after which a removed key must be refused. */
 const CONFIRMATIONS_PER_KEY_REMOVAL = 3;
 /**
- * Part of the time allowed for the removal of keys after which a VM that learns from
- * others asks the store itself. Less than the 0.8 after which keys are refused; more than
- * the third after which readers confirm, with the 0.8 s that news take to a follower.
+ * Fraction of the allowed key removal time after which a VM that follows other VMs reads the store
+ * itself. Below the 0.8 at which keys are refused; above the third at which readers confirm, plus
+ * the 0.8 s that an update takes to reach a follower.
  */
-const OWN_READ_AFTER = 0.6;
+const OWN_READ_FACTOR = 0.6;
 /**
- * Time that the first list has before the configuration is read by itself: lists come later
- * where many VMs start together.
+ * Time allowed for the first list before the configuration is read separately: lists are slower
+ * when many VMs start together.
  */
-const FIRST_READ_MS = 1_000;
-/** Longest wait for a confirmation; the store usually answers in milliseconds. */
+const FIRST_LIST_TIMEOUT_MS = 1_000;
+/** Time-out of a confirming read; the store usually answers in milliseconds. */
 const CONFIRM_TIMEOUT_MS = 1_000;
-/** Intervals differ by so much between VMs, so that their reads do not come as one. */
-const INTERVAL_SPREAD = 0.2;
+/** Random reduction of the interval, as a fraction, so that VMs do not read in lockstep. */
+const INTERVAL_JITTER = 0.2;
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly missedChangeDetector: MissedChangeDetector;
   readonly bounds: DeploymentBounds;
   readonly clock: Clock;
-  /** By which confirmations are dated: they bind a VM also after it was suspended. */
+  /** Clock for the age of confirmations, which must include time for which the VM was suspended. */
   readonly trustClock: TrustClock;
   readonly logger: Logger;
   readonly chance: () => number;
 }
 
-/** Follows the configuration by a watch, and confirms it by reads that cannot be stale. */
+/** Follows the configuration by a watch and confirms it by reads that cannot be stale. */
 export class RoutingFollower implements KindListener {
   readonly #deps: Deps;
-  /** Its copy of the kind, to exchange with other VMs. */
+  /** Follower of the kind, whose changes are exchanged with other VMs. */
   readonly follower: KindFollower;
   #table: RouteTable | undefined;
   #confirmedAtMs = -Infinity;
   #timer: NodeJS.Timeout | undefined;
   #stopped = false;
   #reading = false;
-  /** Whether the newest configuration that was read could be decoded. */
+  /** Whether the latest configuration that was read could be decoded. */
   #decoded = true;
   #access: StoreAccess = "reader";
   readonly #listeners: ((table: RouteTable) => void)[] = [];
@@ -82,7 +82,7 @@
     this.follower = new KindFollower(deps, {
       kind: CONFIGURATION_KIND,
       listener: this,
-      dateMs: () => deps.trustClock.nowMs(),
+      timestampMs: () => deps.trustClock.nowMs(),
     });
   }
 
@@ -91,68 +91,68 @@
     return this.#table;
   }
 
-  /** Milliseconds since a read showed that no later configuration was accepted. */
+  /** Time since the start of the last read that showed that no later configuration exists. */
   confirmedAgeMs(): number {
     return this.#deps.trustClock.nowMs() - this.#confirmedAtMs;
   }
 
-  /** Registers a listener for configurations that come into force. */
+  /** Registers a listener for new configurations in force. */
   onChange(listener: (table: RouteTable) => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Sets what is called whenever an own read has confirmed the configuration. */
+  /** Sets the callback for confirmations by reads of this VM. */
   onConfirmed(listener: () => void): void {
     this.#onConfirmed = listener;
   }
 
-  /** Milliseconds since the confirmation and the version, as other VMs may use them. */
+  /** Version in force and the age of its confirmation, for other VMs. */
   get confirmation(): { readonly version: number; readonly ageMs: number } {
     return { version: this.#table?.version ?? 0, ageMs: this.confirmedAgeMs() };
   }
 
   /**
-   * Takes in what another VM has confirmed: `atMs` is when its read began, or earlier, by the
-   * clock for ages.
-   * A later version there is read from the store at once.
+   * Receives a confirmation by another VM: `atMs` is no later than the start of its read, by the
+   * trust clock. A version later than the one in force here triggers a read of the store.
    */
-  hearConfirmation(
+  receiveConfirmation(
     { version, atMs }: { version: number; atMs: number },
   ): void {
-    const own = this.#table?.version;
-    if (own === undefined || this.#stopped) return;
-    if (version === own) {
+    const ownVersion = this.#table?.version;
+    if (ownVersion === undefined || this.#stopped) return;
+    if (version === ownVersion) {
       this.#confirmedAtMs = Math.max(this.#confirmedAtMs, atMs);
-    } else if (version > own && !this.#reading) {
+    } else if (version > ownVersion && !this.#reading) {
       clearTimeout(this.#timer);
       void this.#confirm();
     }
   }
 
-  /** Starts to follow. */
   start(): void {
     this.follower.start();
     this.#awaitFirstList();
   }
 
-  /** Whether to confirm by own reads, rather than by those of other VMs. */
+  /** Sets whether the configuration is confirmed by reads of this VM or by those of other VMs. */
   setAccess(access: StoreAccess): void {
-    const asked = asksStore(this.#access);
+    const readBefore = readsStore(this.#access);
     this.#access = access;
     this.follower.setAccess(access);
-    const asksNow = asksStore(access) && !asked;
-    if (!asksNow || this.#reading || this.#stopped) return;
+    const startsReading = readsStore(access) && !readBefore;
+    if (!startsReading || this.#reading || this.#stopped) return;
     clearTimeout(this.#timer);
     if (this.#table === undefined) this.#awaitFirstList();
     else void this.#confirmIfDue();
   }
 
-  /** The first list confirms as well, where it comes in time. */
+  /** Delays the first confirming read: a first list that arrives in time confirms too. */
   #awaitFirstList(): void {
-    this.#timer = setTimeout(() => void this.#confirmIfDue(), FIRST_READ_MS);
+    this.#timer = setTimeout(
+      () => void this.#confirmIfDue(),
+      FIRST_LIST_TIMEOUT_MS,
+    );
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.#stopped = true;
     clearTimeout(this.#timer);
@@ -167,26 +167,29 @@
     if (object.name === CONFIGURATION_NAME) this.#apply(object);
   }
 
-  read(startedMs: number): void {
-    // What was read may withdraw a key, also where it can't be decoded here.
+  refreshed(startedMs: number): void {
+    // A configuration that can't be decoded may withdraw a key, so it confirms nothing.
     if (this.#table === undefined || !this.#decoded) return;
     this.#confirmedAtMs = Math.max(this.#confirmedAtMs, startedMs);
   }
 
   deleted(object: StoredObject): void {
-    // The last configuration stays in force: operators replace it, never remove it.
-    this.#deps.logger.warn("Configuration was deleted; the last one stays", {
-      object: object.name,
-    });
+    // The last configuration stays in force: operators replace it but never delete it.
+    this.#deps.logger.warn(
+      "Configuration object was deleted; keeping the last configuration",
+      {
+        object: object.name,
+      },
+    );
   }
 
-  /** Reads, unless another VM has confirmed the configuration meanwhile. */
+  /** Reads the configuration, unless it has been confirmed by another VM in the meantime. */
   async #confirmIfDue(): Promise<void> {
     const dueInMs = this.#intervalMs() - this.confirmedAgeMs();
-    const { health, lostHere } = this.#deps.storeHealth;
-    const lost = asksStore(this.#access) && !health.reachable;
-    // A VM that was turned away finds out by itself when it is served again.
-    if (dueInMs <= 0 || lost || lostHere) {
+    const { health, lastCallFailed: lostHere } = this.#deps.storeHealth;
+    const isUnreachable = readsStore(this.#access) && !health.reachable;
+    // A VM whose last call failed must call again to detect that the store answers it.
+    if (dueInMs <= 0 || isUnreachable || lostHere) {
       await this.#confirm();
       return;
     }
@@ -196,61 +199,64 @@
   async #confirm(): Promise<void> {
     const { objectStore, storeHealth, clock, trustClock } = this.#deps;
     const startedMs = clock.monotonicMs();
-    const datedMs = trustClock.nowMs();
+    const timestampMs = trustClock.nowMs();
     this.#reading = true;
-    // A list costs as much as a read of its one object, and tells the store's revision.
+    // A list costs as much as a read of its single object and also returns the store's revision.
     const read = await objectStore.list(CONFIGURATION_KIND, {
       timeoutMs: CONFIRM_TIMEOUT_MS,
     });
     this.#reading = false;
     if (this.#stopped) return;
     if (read.ok) {
-      storeHealth.answered();
+      storeHealth.recordSuccess();
       const { objects, revision } = read.value;
       const current = objects.find(({ name }) => name === CONFIGURATION_NAME);
       if (current !== undefined && this.#apply(current)) {
-        this.#confirmedBy(datedMs);
+        this.#recordConfirmation(timestampMs);
       }
       void this.#deps.missedChangeDetector.check(revision);
     } else {
-      storeHealth.failed(describeStoreError(read.error));
+      storeHealth.recordFailure(describeStoreError(read.error));
     }
-    const waitMs = read.ok ? this.#intervalMs() : this.#retryMs();
-    const tookMs = clock.monotonicMs() - startedMs;
+    const waitMs = read.ok ? this.#intervalMs() : this.#nextRetryDelayMs();
+    const elapsedMs = clock.monotonicMs() - startedMs;
     this.#timer = setTimeout(
       () => void this.#confirmIfDue(),
-      Math.max(0, waitMs - tookMs),
+      Math.max(0, waitMs - elapsedMs),
     );
   }
 
-  #confirmedBy(startedMs: number): void {
+  #recordConfirmation(startedMs: number): void {
     this.#confirmedAtMs = startedMs;
     this.#onConfirmed();
   }
 
   #intervalMs(): number {
     const { bounds, chance } = this.#deps;
-    if (!asksStore(this.#access)) return OWN_READ_AFTER * bounds.keyRemovalMs;
-    const shortest = Math.min(
+    if (!readsStore(this.#access)) return OWN_READ_FACTOR * bounds.keyRemovalMs;
+    const shortestMs = Math.min(
       bounds.configurationApplyMs / CONFIRMATIONS_PER_APPLY,
       bounds.keyRemovalMs / CONFIRMATIONS_PER_KEY_REMOVAL,
     );
-    return shortest * (1 - INTERVAL_SPREAD * chance());
+    return shortestMs * (1 - INTERVAL_JITTER * chance());
   }
 
-  #retryMs(): number {
-    return retryPauseMs(this.#access, this.#deps.chance());
+  #nextRetryDelayMs(): number {
+    return retryDelayMs(this.#access, this.#deps.chance());
   }
 
-  /** Returns whether the configuration in force is at least as new as the object. */
+  /** Applies the object; returns whether the configuration in force is at least as new as it. */
   #apply(object: StoredObject): boolean {
     const { logger } = this.#deps;
     const decoded = decodeConfiguration(object.spec);
     this.#decoded = decoded.ok;
     if (!decoded.ok) {
-      logger.warn("Configuration is not understood; the last one stays", {
-        reason: describeDecodeError(decoded.error),
-      });
+      logger.warn(
+        "Configuration could not be decoded; keeping the last configuration",
+        {
+          reason: describeDecodeError(decoded.error),
+        },
+      );
       return false;
     }
     const configuration = decoded.value;
--- a/src/store/routing_follower_test.ts
+++ b/src/store/routing_follower_test.ts
@@ -1,6 +1,7 @@
 /**
- * A VM that was suspended took keys for confirmed that had been withdrawn meanwhile: the steady
- * clock, by which the age of the confirmation was told, does not count such time.
+ * Guards against accepting withdrawn keys after a VM was suspended: the monotonic clock, which once
+ * gave the age of the confirmation, does not advance during suspension, so that the confirmation
+ * still counted as recent.
  */
 
 import assert from "node:assert/strict";
@@ -12,23 +13,23 @@
 import { RoutingFollower } from "./routing_follower.ts";
 import type { MissedChangeDetector } from "./missed_change_detector.ts";
 import { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
 const SUSPENDED_MS = 6_000;
 
-let steadyMs: number;
+let monotonicMs: number;
 let wallMs: number;
 let trustClock: TrustClock;
 let follower: RoutingFollower;
 
 beforeEach(() => {
-  steadyMs = 0;
+  monotonicMs = 0;
   wallMs = 1_700_000_000_000;
-  const clock = { monotonicMs: () => steadyMs, wallMs: () => wallMs };
+  const clock = { monotonicMs: () => monotonicMs, wallMs: () => wallMs };
   trustClock = new TrustClock({ clock });
   follower = new RoutingFollower({
     objectStore: {} as ObjectStore,
-    storeHealth: { onBack: () => {} } as unknown as StoreHealthKeeper,
+    storeHealth: { onRecovered: () => {} } as unknown as StoreHealthMonitor,
     seenRevisions: new SeenRevisions(),
     missedChangeDetector: {} as MissedChangeDetector,
     bounds: {} as DeploymentBounds,
@@ -42,32 +43,32 @@
 });
 
 describe("age of a confirmation", () => {
-  it("should count the time for which the VM was suspended", () => {
-    follower.read(trustClock.nowMs());
+  it("should include the time for which the VM was suspended", () => {
+    follower.refreshed(trustClock.nowMs());
     wallMs += SUSPENDED_MS;
     assert.ok(follower.confirmedAgeMs() >= SUSPENDED_MS);
   });
 
-  // A list confirmed the configuration whatever had come of its object, so that a key which a
-  // configuration of an unknown form had withdrawn went on to open routes.
-  it("should not be renewed by a list that can't be decoded", () => {
+  // A list confirmed the configuration even if its object could not be decoded, so that a key
+  // withdrawn by a configuration in an unknown format was still accepted.
+  it("should not be renewed by a list whose configuration can't be decoded", () => {
     const spec = { Version: 2, Routes: "unknown" };
     follower.changed({ name: "main", revision: 2, spec, status: null });
-    follower.read(trustClock.nowMs());
+    follower.refreshed(trustClock.nowMs());
     assert.equal(follower.confirmedAgeMs(), Infinity);
     const readable = { Version: 3, Routes: [], Services: [] };
     const object = { name: "main", revision: 3, spec: readable, status: null };
     follower.changed(object);
-    follower.read(trustClock.nowMs());
+    follower.refreshed(trustClock.nowMs());
     assert.equal(follower.confirmedAgeMs(), 0);
   });
 
-  it("should count it also where the answer was asked for before", () => {
-    const askedMs = trustClock.nowMs();
+  it("should include it also if a confirmation was requested before the suspension", () => {
+    const requestedMs = trustClock.nowMs();
     wallMs += SUSPENDED_MS;
-    steadyMs += 20;
+    monotonicMs += 20;
     wallMs += 20;
-    follower.hearConfirmation({ version: 1, atMs: askedMs - 100 });
+    follower.receiveConfirmation({ version: 1, atMs: requestedMs - 100 });
     assert.ok(follower.confirmedAgeMs() >= SUSPENDED_MS);
   });
 });
--- a/src/store/server_follower.ts
+++ b/src/store/server_follower.ts
@@ -1,4 +1,4 @@
-/** Follows the list of backend servers. */
+/** Follows the backend servers that are registered in the store. */
 
 import type { InstanceId } from "../core/ids.ts";
 import type { ColdServers } from "../core/servers/cold_servers.ts";
@@ -20,17 +20,17 @@
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import type { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
-/** Time between looks for servers that were not listed again. */
+/** Interval of the check for servers that were not listed again after an outage of the store. */
 const EXPIRY_INTERVAL_MS = 250;
 
-/** Called when servers get no new work any more. */
+/** Called with a server that gets no new work any more. */
 export type RemovalListener = (server: ServerRecord) => void;
 
 interface Deps {
   readonly objectStore: ObjectStore;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly seenRevisions: SeenRevisions;
   readonly serverDirectory: ServerDirectory;
   readonly coldServers: ColdServers;
@@ -39,22 +39,22 @@
   readonly chance: () => number;
 }
 
-/** Keeps the directory of servers true to the list. */
+/** Applies the registered servers to the server directory. */
 export class ServerFollower implements KindListener {
   readonly #deps: Deps;
-  /** Its copy of the kind, to exchange with other VMs. */
+  /** Follower of the kind, whose changes are exchanged with other VMs. */
   readonly follower: KindFollower;
   readonly #listeners: RemovalListener[] = [];
-  readonly #news = new BurstLog<DirectoryChange>({
+  readonly #changeLog = new BurstLog<DirectoryChange>({
     one: (change) => this.#logOne(change),
     many: (changes) => this.#logMany(changes),
   });
-  readonly #coldNews = new BurstLog<ServerRecord>({
+  readonly #coldLog = new BurstLog<ServerRecord>({
     one: (server) => this.#logCold([server]),
     many: (servers) => this.#logCold(servers),
   });
-  /** Servers whose entries name none at present. */
-  readonly #unreadable = new Set<InstanceId>();
+  /** Servers whose current entries cannot be decoded. */
+  readonly #undecodable = new Set<InstanceId>();
   #timer: NodeJS.Timeout | undefined;
 
   constructor(deps: Deps) {
@@ -65,21 +65,19 @@
     });
   }
 
-  /** Starts to follow. */
   start(): void {
     this.follower.start();
     const { serverDirectory } = this.#deps;
     this.#timer = setInterval(
-      () => this.#note(serverDirectory.expire(this.#at())),
+      () => this.#report(serverDirectory.expire(this.#expiryContext())),
       EXPIRY_INTERVAL_MS,
     );
   }
 
-  /** Stops to follow. */
   stop(): void {
     clearInterval(this.#timer);
-    this.#news.flush();
-    this.#coldNews.flush();
+    this.#changeLog.flush();
+    this.#coldLog.flush();
     this.follower.stop();
   }
 
@@ -88,59 +86,61 @@
     this.#listeners.push(listener);
   }
 
-  /** Number of entries that name no server. */
-  get unreadable(): number {
-    return this.#unreadable.size;
+  /** Number of entries that cannot be decoded. */
+  get unreadableEntries(): number {
+    return this.#undecodable.size;
   }
 
-  /** Notes that a server has said in an answer, here or to another VM, that it leaves. */
-  leaves(life: ServerLifeKey): void {
-    this.#note(this.#deps.serverDirectory.leaves(life));
+  /** Records that a server has announced to this or another VM that it is leaving. */
+  leaves(server: ServerLifeKey): void {
+    this.#report(this.#deps.serverDirectory.leaves(server));
   }
 
-  /** Lives of servers that have said that they leave. */
+  /** Server incarnations that have announced that they are leaving. */
   leavingLives(): LeavingLife[] {
     return this.#deps.serverDirectory.leavingLives();
   }
 
-  /** Notes that another server answers at the address of this one. */
-  misdirected(instance: InstanceId): void {
-    this.#note(this.#deps.serverDirectory.misdirected(instance));
+  /** Records that another server answers at the address of this one. */
+  markMisdirected(instance: InstanceId): void {
+    this.#report(this.#deps.serverDirectory.misdirected(instance));
   }
 
   listed(objects: readonly StoredObject[]): void {
     const listed = new Set(objects.map(({ name }) => name as InstanceId));
-    for (const instance of this.#unreadable) {
-      if (!listed.has(instance)) this.#unreadable.delete(instance);
+    for (const instance of this.#undecodable) {
+      if (!listed.has(instance)) this.#undecodable.delete(instance);
     }
     const records = objects.flatMap((object) => this.#decode(object));
-    for (const record of records) this.#noteCold(record);
+    for (const record of records) this.#recordCold(record);
     const { serverDirectory } = this.#deps;
-    this.#note(serverDirectory.replaceAll(records, this.#at()));
+    this.#report(serverDirectory.replaceAll(records, this.#expiryContext()));
   }
 
   changed(object: StoredObject): void {
     for (const record of this.#decode(object)) {
-      this.#noteCold(record);
-      this.#note(this.#deps.serverDirectory.put(record));
+      this.#recordCold(record);
+      this.#report(this.#deps.serverDirectory.put(record));
     }
   }
 
   deleted(object: StoredObject): void {
     const instance = object.name as InstanceId;
-    this.#unreadable.delete(instance);
-    this.#note(this.#deps.serverDirectory.remove(instance, this.#at()));
+    this.#undecodable.delete(instance);
+    this.#report(
+      this.#deps.serverDirectory.remove(instance, this.#expiryContext()),
+    );
   }
 
-  #noteCold(record: ServerRecord): void {
+  #recordCold(record: ServerRecord): void {
     const { coldServers, clock } = this.#deps;
     const { instance, coldForMs: leftMs } = record;
     const nowMs = clock.monotonicMs();
     if (!coldServers.note(instance, { leftMs, nowMs })) return;
-    this.#coldNews.note([record]);
+    this.#coldLog.note([record]);
   }
 
-  #at() {
+  #expiryContext() {
     const { storeHealth, clock } = this.#deps;
     return { health: storeHealth.health, nowMs: clock.monotonicMs() };
   }
@@ -149,22 +149,22 @@
     const instance = object.name as InstanceId;
     const decoded = decodeServer(object.name, object.spec);
     if (decoded.ok) {
-      this.#unreadable.delete(instance);
+      this.#undecodable.delete(instance);
       return [decoded.value];
     }
-    this.#note(this.#deps.serverDirectory.unreadable(instance));
-    // Another writer may write it again and again.
-    if (this.#unreadable.has(instance)) return [];
-    this.#unreadable.add(instance);
-    this.#deps.logger.warn("Entry names no server", {
+    this.#report(this.#deps.serverDirectory.unreadable(instance));
+    // Logged once: another writer may write the entry repeatedly.
+    if (this.#undecodable.has(instance)) return [];
+    this.#undecodable.add(instance);
+    this.#deps.logger.warn("Server entry could not be decoded", {
       entry: object.name,
       reason: describeDecodeError(decoded.error),
     });
     return [];
   }
 
-  #note(changes: readonly DirectoryChange[]): void {
-    this.#news.note(changes);
+  #report(changes: readonly DirectoryChange[]): void {
+    this.#changeLog.note(changes);
     for (const change of changes) {
       if (change.tag !== "removed") continue;
       for (const listener of this.#listeners) listener(change.server);
@@ -193,7 +193,9 @@
 
   #logMany(changes: readonly DirectoryChange[]): void {
     const namesOf = (tag: DirectoryChange["tag"]) =>
-      changes.filter((change) => change.tag === tag).map(describe).join(",");
+      changes.filter((change) => change.tag === tag).map(describeChange).join(
+        ",",
+      );
     this.#deps.logger.info("Many servers changed", {
       changes: changes.length,
       added: namesOf("added"),
@@ -203,8 +205,8 @@
   }
 }
 
-function describe(change: DirectoryChange): string {
+function describeChange(change: DirectoryChange): string {
   const { instance, service, release, state } = change.server;
-  const why = change.tag === "removed" ? change.reason : state;
-  return `${instance} ${service} ${release} ${why}`;
+  const reason = change.tag === "removed" ? change.reason : state;
+  return `${instance} ${service} ${release} ${reason}`;
 }
--- a/src/store/server_follower_test.ts
+++ b/src/store/server_follower_test.ts
@@ -8,11 +8,11 @@
 import { SilentLogger } from "../runtime/logger.ts";
 import { ServerFollower } from "./server_follower.ts";
 import { SeenRevisions } from "./seen_revisions.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
 
 const SERVICE = "tracker" as ServiceId;
 
-/** Counts lines instead of writing them. */
+/** Counts warnings instead of writing them. */
 class CountingLogger extends SilentLogger {
   warnings = 0;
 
@@ -31,10 +31,10 @@
   follower = new ServerFollower({
     objectStore: {} as ObjectStore,
     storeHealth: {
-      // As shortly after an outage, when entries may be missing for a while.
+      // Shortly after an outage, when entries may still be missing.
       health: { reachable: true, backSinceMs: 0 },
-      onBack: () => {},
-    } as unknown as StoreHealthKeeper,
+      onRecovered: () => {},
+    } as unknown as StoreHealthMonitor,
     seenRevisions: new SeenRevisions(),
     serverDirectory: directory,
     coldServers: new ColdServers(),
@@ -57,61 +57,64 @@
   return { name, revision: 1, spec, status: null };
 }
 
-function namesOf(): string[] {
+function usableServers(): string[] {
   return directory.usable(SERVICE).map(({ instance }) => instance).sort();
 }
 
 describe("follower of servers", () => {
-  it("should give no new work to a server whose entry turns unreadable, and keep the others", () => {
+  it("should give no new work to a server whose entry becomes undecodable, and keep the others", () => {
     follower.listed([entry("a"), entry("b")]);
     follower.changed(entry("a", { State: "resting" }));
-    assert.deepEqual(namesOf(), ["b"]);
+    assert.deepEqual(usableServers(), ["b"]);
     follower.changed(entry("a"));
-    assert.deepEqual(namesOf(), ["a", "b"]);
+    assert.deepEqual(usableServers(), ["a", "b"]);
   });
 
-  it("should do so also where a list shows it, shortly after an outage", () => {
+  it("should do so also if the entry is in a list shortly after an outage", () => {
     follower.listed([entry("a"), entry("b")]);
     follower.listed([entry("a", { Address: 5 }), entry("b")]);
-    assert.deepEqual(namesOf(), ["b"]);
+    assert.deepEqual(usableServers(), ["b"]);
   });
 
-  it("should log once that an entry has turned unreadable, however often it is read", () => {
+  it("should log an undecodable entry once, however often it is read", () => {
     follower.listed([entry("a")]);
     for (let n = 0; n < 5; n++) follower.changed(entry("a", { Slots: "n" }));
     assert.equal(logger.warnings, 1);
-    assert.equal(follower.unreadable, 1);
+    assert.equal(follower.unreadableEntries, 1);
     follower.deleted(entry("a"));
-    assert.equal(follower.unreadable, 0);
+    assert.equal(follower.unreadableEntries, 0);
   });
 
-  it("should lose no good entry beside one of another writer, nor grow by it", () => {
-    const good = ["a", "b", "c"];
+  it("should neither lose valid entries nor grow on arbitrary entries of another writer", () => {
+    const valid = ["a", "b", "c"];
     const patch = fc.dictionary(
       fc.constantFrom(
         ...["Service", "Address", "Zone", "Version", "Slots", "State", "born"],
       ),
       fc.anything(),
     );
-    const left = fc.oneof(
+    const anySpec = fc.oneof(
       fc.anything(),
       patch.map((fields) => entry("x", fields).spec),
     );
     const event = fc.record({
-      spec: left,
+      spec: anySpec,
       how: fc.constantFrom("listed", "changed", "deleted"),
     });
     fc.assert(
       fc.property(fc.array(event, { maxLength: 20 }), (events) => {
-        follower.listed(good.map((name) => entry(name)));
+        follower.listed(valid.map((name) => entry(name)));
         for (const { spec, how } of events) {
-          const strange = { ...entry("x"), spec };
+          const arbitrary = { ...entry("x"), spec };
           if (how === "listed") {
-            follower.listed([...good.map((name) => entry(name)), strange]);
-          } else follower[how](strange);
-          assert.deepEqual(namesOf().filter((name) => name !== "x"), good);
-          assert.ok(directory.size <= good.length + 1);
-          assert.ok(follower.unreadable <= 1);
+            follower.listed([...valid.map((name) => entry(name)), arbitrary]);
+          } else follower[how](arbitrary);
+          assert.deepEqual(
+            usableServers().filter((name) => name !== "x"),
+            valid,
+          );
+          assert.ok(directory.size <= valid.length + 1);
+          assert.ok(follower.unreadableEntries <= 1);
         }
         follower.deleted(entry("x"));
       }),
--- a/src/store/store_sync.ts
+++ b/src/store/store_sync.ts
@@ -1,4 +1,4 @@
-/** What VMs tell each other of the store, so that few of them have to ask it. */
+/** Exchanges the contents of the store between VMs, so that only a few of them read it. */
 
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
 import type { ToldChanges, ToldStore } from "../protocol/store_schema.ts";
@@ -9,23 +9,23 @@
 import type { RollOutFollower } from "./roll_out_follower.ts";
 import type { RoutingFollower } from "./routing_follower.ts";
 import type { ServerFollower } from "./server_follower.ts";
-import { asksStore, type StoreAccess } from "./store_access.ts";
-import type { StoreHealthKeeper } from "./store_health.ts";
-import type { TrialFollower } from "./trial_follower.ts";
+import { readsStore, type StoreAccess } from "./store_access.ts";
+import type { StoreHealthMonitor } from "./store_health_monitor.ts";
+import type { CanaryFollower } from "./canary_follower.ts";
 
 interface Deps {
   readonly routingFollower: RoutingFollower;
   readonly serverFollower: ServerFollower;
   readonly rollOutFollower: RollOutFollower;
-  readonly trialFollower: TrialFollower;
+  readonly canaryFollower: CanaryFollower;
   readonly evacuationFollower: EvacuationFollower;
   readonly missedChangeDetector: MissedChangeDetector;
   readonly releaseGate: ReleaseGate;
-  readonly storeHealth: StoreHealthKeeper;
+  readonly storeHealth: StoreHealthMonitor;
   readonly clock: Clock;
 }
 
-/** All kinds that a gateway follows, as one. */
+/** Synchronizes all kinds that a gateway follows. */
 export class StoreSync {
   readonly #deps: Deps;
   readonly #followers: readonly KindFollower[];
@@ -37,22 +37,22 @@
       deps.routingFollower.follower,
       deps.serverFollower.follower,
       deps.rollOutFollower.follower,
-      deps.trialFollower.follower,
-      ...(deps.evacuationFollower.followed
+      deps.canaryFollower.follower,
+      ...(deps.evacuationFollower.isEnabled
         ? [deps.evacuationFollower.follower]
         : []),
     ];
     deps.missedChangeDetector.setFollowers(this.#followers);
-    deps.rollOutFollower.onChange(() => this.#accessTrials());
-    this.#accessTrials();
+    deps.rollOutFollower.onChange(() => this.#updateCanaryAccess());
+    this.#updateCanaryAccess();
   }
 
-  /** How this VM comes to know what the store holds. */
+  /** How this VM learns what the store holds. */
   get access(): StoreAccess {
     return this.#access;
   }
 
-  /** Begins or ends to ask the store itself. */
+  /** Sets whether this VM reads the store or waits for updates from other VMs. */
   setAccess(access: StoreAccess): void {
     this.#access = access;
     const {
@@ -65,41 +65,42 @@
     serverFollower.follower.setAccess(access);
     rollOutFollower.follower.setAccess(access);
     evacuationFollower.follower.setAccess(access);
-    this.#accessTrials();
+    this.#updateCanaryAccess();
   }
 
-  /** Trials change only while a roll-out is under way; to follow them otherwise costs calls. */
-  #accessTrials(): void {
-    const { trialFollower, releaseGate } = this.#deps;
-    const isOpen = releaseGate.openOrders().length > 0;
-    trialFollower.follower.setAccess(isOpen ? this.#access : "listener");
+  /** Canaries change only during a roll-out; reading them at other times costs billed calls. */
+  #updateCanaryAccess(): void {
+    const { canaryFollower, releaseGate } = this.#deps;
+    const isActive = releaseGate.openOrders().length > 0;
+    canaryFollower.follower.setAccess(isActive ? this.#access : "listener");
   }
 
-  /** Whether the store answers this VM, or those answer that read it for others. */
+  /** Whether the store is reachable from this VM, or this VM relies on others to read it. */
   get inTouch(): boolean {
-    return !asksStore(this.#access) || this.#deps.storeHealth.health.reachable;
+    return !readsStore(this.#access) ||
+      this.#deps.storeHealth.health.reachable;
   }
 
-  /** Whether the store did not answer the last call of this VM. */
+  /** Whether the last call of the store by this VM failed. */
   get storeLost(): boolean {
-    return this.#deps.storeHealth.lostHere;
+    return this.#deps.storeHealth.lastCallFailed;
   }
 
-  /** Sets what is called when objects have changed, an own read has confirmed them, or the store is lost. */
-  onNews(listener: () => void): void {
+  /** Sets the callback for changed objects, confirming reads and an unreachable store. */
+  onUpdate(listener: () => void): void {
     this.#deps.routingFollower.onConfirmed(listener);
-    this.#deps.storeHealth.onLost(listener);
-    for (const follower of this.#followers) follower.onNews(listener);
+    this.#deps.storeHealth.onUnreachable(listener);
+    for (const follower of this.#followers) follower.onUpdate(listener);
   }
 
-  /** Up to which revision each kind is known here. */
+  /** Revision of each kind up to which its cache is complete. */
   known(): ToldStore["known"] {
     return this.#followers.flatMap(({ kind, revision }) =>
       revision === undefined ? [] : [{ kind, revision }]
     );
   }
 
-  /** What a VM should hear that knows so much; `undefined` tells no changes. */
+  /** State of the store for a VM with these revisions; no changes if they are `undefined`. */
   tell(known: ToldStore["known"] | undefined): ToldStore {
     const { storeHealth, clock } = this.#deps;
     const { backSinceMs } = storeHealth.health;
@@ -114,22 +115,22 @@
     };
   }
 
-  /** Takes in what a VM has told; returns whether it is in touch with the store. */
+  /** Applies an update from another VM; returns whether that VM is in touch with the store. */
   hear({ inTouch, backAgeMs, changes }: ToldStore): boolean {
-    // Why entries are missing is learnt before which are.
-    if (inTouch && !asksStore(this.#access)) {
-      this.#deps.storeHealth.heard(backAgeMs);
+    // The recovery time must be recorded before the changes, as it explains missing entries.
+    if (inTouch && !readsStore(this.#access)) {
+      this.#deps.storeHealth.recordPeerReport(backAgeMs);
     }
     for (const change of changes) {
-      this.#followers.find(({ kind }) => kind === change.kind)?.hear(change);
+      this.#followers.find(({ kind }) => kind === change.kind)?.receive(change);
     }
     return inTouch;
   }
 
   #changesSince(known: ToldStore["known"]): ToldChanges[] {
     return this.#followers.flatMap((follower) => {
-      const at = known.find(({ kind }) => kind === follower.kind);
-      const changes = follower.changesSince(at?.revision);
+      const entry = known.find(({ kind }) => kind === follower.kind);
+      const changes = follower.changesSince(entry?.revision);
       return changes === undefined ? [] : [changes];
     });
   }
--- a/src/store/vm_registry.ts
+++ b/src/store/vm_registry.ts
@@ -1,6 +1,6 @@
 /**
- * Addresses of entry VMs in the store: objects of our own kind, one for each VM. They are
- * for VMs that reach none of the seeds in their settings, which may all be gone.
+ * Registers the addresses of entry VMs in the store, each as an object of a kind of its own. VMs
+ * read them if they reach none of the seeds in their settings, which may all have stopped.
  */
 
 import * as z from "zod";
@@ -12,14 +12,12 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 
-/** Kind of the objects. */
 const VM_KIND = "fieldrack-vms";
-/** Longest wait for an answer. */
 const CALL_TIMEOUT_MS = 1_000;
-/** Time between tries to write, while the store does not take it. */
-const WRITE_EVERY_MS = 2_000;
-/** Time between reads of the list while this VM knows of no other. */
-const LIST_EVERY_MS = 2_000;
+/** Minimum time between attempts to register. */
+const REGISTER_RETRY_INTERVAL_MS = 2_000;
+/** Minimum time between lists of the registered VMs. */
+const LIST_INTERVAL_MS = 2_000;
 
 const vmSchema = z.object({ peers: z.string() });
 
@@ -30,56 +28,56 @@
   readonly logger: Logger;
 }
 
-/** Writes this VM down, and reads who else is there. */
+/** Registers this VM and discovers the others. */
 export class VmRegistry {
   readonly #deps: Deps;
-  #listedAtMs = -Infinity;
-  #triedAtMs = -Infinity;
-  #written = false;
+  #lastListMs = -Infinity;
+  #lastAttemptMs = -Infinity;
+  #registered = false;
   #addresses: readonly string[] = [];
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Addresses that other VMs have written down, as last read. */
+  /** Peer addresses of the registered VMs, as last read. */
   get addresses(): readonly string[] {
     return this.#addresses;
   }
 
-  /** Writes the address of this VM, unless it stands there already. */
-  async write(): Promise<void> {
+  /** Writes the address of this VM, unless it is already registered. */
+  async register(): Promise<void> {
     const { objectStore, vmSettings, clock, logger } = this.#deps;
     const { peers } = vmSettings.listen;
-    if (peers === undefined || this.#written) return;
+    if (peers === undefined || this.#registered) return;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.#triedAtMs < WRITE_EVERY_MS) return;
-    this.#triedAtMs = nowMs;
+    if (nowMs - this.#lastAttemptMs < REGISTER_RETRY_INTERVAL_MS) return;
+    this.#lastAttemptMs = nowMs;
     const key = { kind: VM_KIND, name: vmSettings.vm };
     const call = { timeoutMs: CALL_TIMEOUT_MS, spec: { peers } };
-    let done = await objectStore.create(key, call);
-    if (!done.ok && done.error.tag === "conflict" && done.error.current) {
-      const { revision } = done.error.current;
-      done = await objectStore.replace(key, { ...call, revision });
+    let result = await objectStore.create(key, call);
+    if (!result.ok && result.error.tag === "conflict" && result.error.current) {
+      const { revision } = result.error.current;
+      result = await objectStore.replace(key, { ...call, revision });
     }
-    this.#written = done.ok;
-    if (done.ok) return;
-    logger.info("Address of this VM was not written", {
-      reason: describeStoreError(done.error),
+    this.#registered = result.ok;
+    if (result.ok) return;
+    logger.info("Could not register the address of this VM", {
+      reason: describeStoreError(result.error),
     });
   }
 
-  /** Called while this VM knows of no other: reads the list now and then. */
-  async whileAlone(): Promise<void> {
+  /** Lists the registered VMs, at most once per interval; called while this VM has no peers. */
+  async refreshAddresses(): Promise<void> {
     const { objectStore, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.#listedAtMs < LIST_EVERY_MS) return;
-    this.#listedAtMs = nowMs;
+    if (nowMs - this.#lastListMs < LIST_INTERVAL_MS) return;
+    this.#lastListMs = nowMs;
     const listing = await objectStore.list(VM_KIND, {
       timeoutMs: CALL_TIMEOUT_MS,
     });
     if (!listing.ok) {
-      logger.info("Addresses of other VMs were not read", {
+      logger.info("Could not list the addresses of other VMs", {
         reason: describeStoreError(listing.error),
       });
       return;
--- a/src/store/vm_registry_test.ts
+++ b/src/store/vm_registry_test.ts
@@ -30,39 +30,39 @@
 }
 
 describe("registry of VMs", () => {
-  it("should let a VM that knows nobody find the others, over several pages", async () => {
-    await registry("a", "10.0.0.1:1").write();
-    await registry("b", "10.0.0.2:1").write();
-    const alone = registry("c", "10.0.0.3:1");
-    await alone.whileAlone();
-    assert.deepEqual(alone.addresses, ["10.0.0.1:1", "10.0.0.2:1"]);
+  it("should let a VM without peers discover the others, over several pages", async () => {
+    await registry("a", "10.0.0.1:1").register();
+    await registry("b", "10.0.0.2:1").register();
+    const isolated = registry("c", "10.0.0.3:1");
+    await isolated.refreshAddresses();
+    assert.deepEqual(isolated.addresses, ["10.0.0.1:1", "10.0.0.2:1"]);
   });
 
-  it("should let VMs that start alone together find each other once they have written", async () => {
+  it("should let VMs that start together without seeds discover each other once registered", async () => {
     const first = registry("a", "10.0.0.1:1");
     const second = registry("b", "10.0.0.2:1");
-    await first.write();
-    await second.write();
-    await first.whileAlone();
-    await second.whileAlone();
+    await first.register();
+    await second.register();
+    await first.refreshAddresses();
+    await second.refreshAddresses();
     assert.deepEqual(first.addresses, ["10.0.0.1:1", "10.0.0.2:1"]);
     assert.deepEqual(second.addresses, first.addresses);
   });
 
-  it("should replace the address that an earlier life has written", async () => {
-    await registry("a", "10.0.0.1:1").write();
-    await registry("a", "10.0.0.9:1").write();
+  it("should replace the address of an earlier incarnation", async () => {
+    await registry("a", "10.0.0.1:1").register();
+    await registry("a", "10.0.0.9:1").register();
     const [object] = store.kinds.list("fieldrack-vms");
     assert.deepEqual(object?.spec, { peers: "10.0.0.9:1" });
   });
 
-  it("should not read the list again at once", async () => {
+  it("should not list again within the interval", async () => {
     let nowMs = 0;
-    const alone = registry("a", "10.0.0.1:1", () => nowMs);
-    await alone.whileAlone();
+    const isolated = registry("a", "10.0.0.1:1", () => nowMs);
+    await isolated.refreshAddresses();
     const { calls } = store;
     nowMs = 500;
-    await alone.whileAlone();
+    await isolated.refreshAddresses();
     assert.equal(store.calls, calls);
   });
 });
