--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -139,7 +139,7 @@
       .sort()
       .slice(0, CRASH_WRITERS);
     if (!writers.includes(memberTable.self.id)) return;
-    crashGossip.recordStored(await crashRegistry.update());
+    crashGossip.recordStored(await crashRegistry.sync());
   }
 
   async #round(): Promise<void> {
@@ -156,12 +156,12 @@
       ? ALONE_REGISTER_ROUNDS
       : SETTLED_ROUNDS;
     if (relayRole.isReader && this.#rounds > settled) {
-      void this.#deps.vmRegistry.write();
+      void this.#deps.vmRegistry.register();
       void this.#storeCrashes();
     }
     for (const member of this.#probeTargets()) void this.#probe(member);
     if (members.length === 0 && this.#rounds > ALONE_LOOKUP_ROUNDS) {
-      void this.#deps.vmRegistry.whileAlone();
+      void this.#deps.vmRegistry.refreshAddresses();
     }
     if (members.length === 0 || this.#rounds % SEED_EVERY_ROUNDS === 0) {
       this.#contactSeeds(members);
--- a/src/fleet/digest_service.ts
+++ b/src/fleet/digest_service.ts
@@ -125,7 +125,7 @@
   receiveAnswer({ digest, store }: DigestAnswer, askedMs: number): boolean {
     this.#merge(digest);
     const inTouch = this.#deps.storeSync.hear(store);
-    this.#deps.routingFollower.hearConfirmation({
+    this.#deps.routingFollower.receiveConfirmation({
       version: digest.configurationVersion,
       atMs: askedMs - digest.confirmedAgeMs,
     });
--- a/src/fleet/fleet_relay_role.ts
+++ b/src/fleet/fleet_relay_role.ts
@@ -13,7 +13,7 @@
 import type { EntryId } from "../core/ids.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import { asksStore, type StoreAccess } from "../store/store_access.ts";
+import { readsStore, type StoreAccess } from "../store/store_access.ts";
 import type { StoreSync } from "../store/store_sync.ts";
 
 /**
@@ -199,7 +199,7 @@
 
   /** Whether this VM reads the store itself, for others or as a fallback. */
   get readsStore(): boolean {
-    return asksStore(this.#deps.storeSync.access);
+    return readsStore(this.#deps.storeSync.access);
   }
 
   /** Updates how this VM obtains the contents of the store. */
--- a/src/fleet/store_feed.ts
+++ b/src/fleet/store_feed.ts
@@ -34,7 +34,7 @@
 
   constructor(deps: Deps) {
     this.#deps = deps;
-    deps.storeSync.onNews(() => this.#scheduleFlush());
+    deps.storeSync.onUpdate(() => this.#scheduleFlush());
   }
 
   /** Answers immediately if the requester is out of date, otherwise on the next change. */
--- a/src/fleet/store_feed_test.ts
+++ b/src/fleet/store_feed_test.ts
@@ -31,7 +31,7 @@
         known: known(),
         changes: [],
       }),
-      onNews: (listener: () => void) => notifyChange = listener,
+      onUpdate: (listener: () => void) => notifyChange = listener,
     } as unknown as StoreSync,
     routingFollower: {
       confirmation: { version: 4, ageMs: 20 },
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -99,7 +99,7 @@
     storeSync.hear(store);
     // A lower bound of the confirmation's time, independent of how long the answer was in transit.
     const sinceAskedMs = heldMs - confirmedAgeMs;
-    this.#deps.routingFollower.hearConfirmation({
+    this.#deps.routingFollower.receiveConfirmation({
       version: configurationVersion,
       atMs: askedTrustMs + sinceAskedMs,
     });
--- a/src/fleet/store_subscriber_test.ts
+++ b/src/fleet/store_subscriber_test.ts
@@ -53,7 +53,7 @@
     } as unknown as FleetRelayRole,
     storeSync: { known: () => [], hear: () => true } as unknown as StoreSync,
     routingFollower: {
-      hearConfirmation: (confirmation: { version: number; atMs: number }) =>
+      receiveConfirmation: (confirmation: { version: number; atMs: number }) =>
         confirmed.push(confirmation),
     } as unknown as RoutingFollower,
     vmClients: {
