--- a/src/backends/backend_try.ts
+++ b/src/backends/backend_try.ts
@@ -168,7 +168,7 @@
       this.giveUp({ tag: "broken", reason: flaw });
       return;
     }
-    if (decoded.closes) this.#connection.retire();
+    if (decoded.closesConnection) this.#connection.retire();
     if (isNotRun(this.#head)) return;
     this.#verdict = this.#input.sink.judge(this.#head);
     if (this.#verdict === "turn_down") this.giveUp({ tag: "turned_down" });
@@ -230,7 +230,7 @@
     if (isNotRun({ status, decoded })) return undefined;
     if (decoded.attempt !== attempt) return "answer without the request's id";
     if (decoded.encoded) return "answer with an encoding that nobody asked for";
-    if (status < 300 && !decoded.sealed) return "answer without a seal";
+    if (status < 300 && !decoded.hasSeal) return "answer without a seal";
     return undefined;
   }
 }
@@ -239,5 +239,5 @@
   { status, decoded }: Pick<AnswerHead, "status" | "decoded">,
 ): boolean {
   if (status === MISDIRECTED) return true;
-  return decoded.notRun && NOT_RUN_STATUSES.has(status);
+  return decoded.notProcessed && NOT_RUN_STATUSES.has(status);
 }
--- a/src/backends/http_model_servers.ts
+++ b/src/backends/http_model_servers.ts
@@ -5,7 +5,10 @@
 import type { RequestId } from "../core/ids.ts";
 import { fail, ok, type Result } from "../core/result.ts";
 import { decodeServerNotice } from "../platform/server_notice_wire.ts";
-import { chatAnswerSchema, loadReportSchema } from "../protocol/chat_schema.ts";
+import {
+  chatResponseSchema,
+  loadReportSchema,
+} from "../protocol/chat_schema.ts";
 import { withDeadline } from "../runtime/with_deadline.ts";
 import { type BackendError, backendErrorOf } from "./backend_error.ts";
 import { readChatStream } from "./chat_stream_reader.ts";
@@ -120,7 +123,7 @@
   } catch {
     return fail({ tag: "wrong_answer", reason: "answer is not JSON" });
   }
-  const parsed = chatAnswerSchema.safeParse(body);
+  const parsed = chatResponseSchema.safeParse(body);
   if (!parsed.success) {
     return fail({ tag: "wrong_answer", reason: "answer of an unknown form" });
   }
--- a/src/backends/model_servers.ts
+++ b/src/backends/model_servers.ts
@@ -3,7 +3,7 @@
 import type { BackendServer } from "../core/config/configuration.ts";
 import type { RequestId } from "../core/ids.ts";
 import type { Result } from "../core/result.ts";
-import type { ChatAnswer, ChatChunk } from "../protocol/chat_schema.ts";
+import type { ChatChunk, ChatResponse } from "../protocol/chat_schema.ts";
 import type { Deadline } from "../runtime/deadline.ts";
 import type { BackendError } from "./backend_error.ts";
 
@@ -20,7 +20,7 @@
 /** A whole answer, with the text it was parsed from. */
 export interface WholeAnswer {
   readonly text: string;
-  readonly answer: ChatAnswer;
+  readonly answer: ChatResponse;
 }
 
 /** One event of a stream, with the text it was parsed from. */
--- a/src/cli/gateway_command.ts
+++ b/src/cli/gateway_command.ts
@@ -8,7 +8,7 @@
 import { describeDecodeError } from "../platform/decode_error.ts";
 import {
   decodeVmSettings,
-  SETTINGS_VARIABLE,
+  SETTINGS_ENV_VAR,
   type VmSettings,
 } from "../platform/vm_settings_wire.ts";
 import { LineWriter, openForLines } from "../runtime/line_writer.ts";
@@ -32,7 +32,7 @@
     args.option("settings", {
       type: "string",
       describe:
-        `Settings file; by default the one that ${SETTINGS_VARIABLE} names`,
+        `Settings file; by default the one that ${SETTINGS_ENV_VAR} names`,
     })
       .example("$0 gateway", "Run by the platform's settings")
       .epilogue("SIGTERM stops as planned. SIGHUP reads the settings again."),
@@ -41,10 +41,10 @@
 
 /** Runs a gateway by a settings file. */
 export async function runGateway(
-  path = process.env[SETTINGS_VARIABLE],
+  path = process.env[SETTINGS_ENV_VAR],
 ): Promise<void> {
   if (path === undefined) {
-    printError(`Name a settings file with --settings or ${SETTINGS_VARIABLE}`);
+    printError(`Name a settings file with --settings or ${SETTINGS_ENV_VAR}`);
     process.exit(ExitCode.Usage);
   }
   const settings = readVmSettings(path);
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -12,7 +12,7 @@
 import { errorAfter, type RequestError } from "../core/request_error.ts";
 import { fail, ok, type Result } from "../core/result.ts";
 import type { EntryMetrics } from "../metrics/entry_metrics.ts";
-import type { ChatAnswer, ChatRequest } from "../protocol/chat_schema.ts";
+import type { ChatRequest, ChatResponse } from "../protocol/chat_schema.ts";
 import type { BackendSelector, Target } from "./backend_selector.ts";
 import type {
   Dispatched,
@@ -240,7 +240,7 @@
   }
 }
 
-function isGood(answer: ChatAnswer, step: CascadeStep): boolean {
+function isGood(answer: ChatResponse, step: CascadeStep): boolean {
   const choice = answer.choices[0];
   if (step.escalation === undefined || choice === undefined) return true;
   return isConfidentAnswer({
--- a/src/fleet/crash_news.ts
+++ b/src/fleet/crash_news.ts
@@ -4,7 +4,7 @@
 import type { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { EntryId, RequestKey } from "../core/ids.ts";
 import type { VmDigest } from "../protocol/digest_schema.ts";
-import { toldAgeMs } from "../protocol/store_schema.ts";
+import { advertisedAgeMs } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 
@@ -113,14 +113,14 @@
       .slice(0, MOST_TOLD)
       .map(({ beganMs, endedMs, ...crash }) => ({
         ...crash,
-        beganAgeMs: toldAgeMs(nowMs - beganMs),
-        endedAgeMs: toldAgeMs(nowMs - endedMs),
+        beganAgeMs: advertisedAgeMs(nowMs - beganMs),
+        endedAgeMs: advertisedAgeMs(nowMs - endedMs),
       }));
     const goodEnds = crashHistory.successesSince(sinceMs)
       .slice(0, MOST_TOLD)
       .map(({ request, atMs }) => ({
         request,
-        ageMs: toldAgeMs(nowMs - atMs),
+        ageMs: advertisedAgeMs(nowMs - atMs),
       }));
     return { ends, goodEnds };
   }
--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -4,7 +4,7 @@
 import type { FleetSize } from "../core/membership/fleet_size.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { ProbeOrder } from "../core/membership/probe_order.ts";
-import { digestAnswerSchema } from "../protocol/digest_schema.ts";
+import { digestResponseSchema } from "../protocol/digest_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { TrustClock } from "../runtime/trust_clock.ts";
@@ -242,7 +242,7 @@
     const answer = await this.#deps.vmClients.call(address, {
       timeoutMs: TIMEOUT_MS,
       ask: async (client, signal) =>
-        digestAnswerSchema.parse(
+        digestResponseSchema.parse(
           await client.exchange.mutate(question, { signal }),
         ),
     });
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -21,12 +21,12 @@
 } from "../core/servers/server_report.ts";
 import type { UnitHash } from "../core/routing/version_choice.ts";
 import {
-  type DigestAnswer,
-  type DigestQuestion,
-  MOST_LEAVING,
+  type DigestRequest,
+  type DigestResponse,
+  MAX_DIGEST_LEAVING_SERVERS,
   type VmDigest,
 } from "../protocol/digest_schema.ts";
-import { toldAgeMs } from "../protocol/store_schema.ts";
+import { advertisedAgeMs } from "../protocol/store_schema.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -88,7 +88,7 @@
   }
 
   /** What this VM asks others. */
-  question(): DigestQuestion {
+  question(): DigestRequest {
     return {
       digest: this.#digest(this.#ofGroup()),
       known: this.#deps.storeSync.known(),
@@ -96,7 +96,7 @@
   }
 
   /** Answers the question of another VM. */
-  exchange({ digest: asked, known }: DigestQuestion): DigestAnswer {
+  exchange({ digest: asked, known }: DigestRequest): DigestResponse {
     const { memberTable, storeSync, relayRole, crashNews } = this.#deps;
     const { id } = asked.self;
     const isNew = memberTable.get(id) === undefined || !this.#told.has(id);
@@ -121,7 +121,7 @@
    * answers date a confirmation: a digest that comes unasked may have been on its way for long.
    * Returns whether the other VM is a relay that is in touch with the store.
    */
-  hearAnswer({ digest, store }: DigestAnswer, askedMs: number): boolean {
+  hearAnswer({ digest, store }: DigestResponse, askedMs: number): boolean {
     this.#hear(digest);
     const inTouch = this.#deps.storeSync.hear(store);
     this.#deps.routingFollower.hearConfirmation({
@@ -160,10 +160,12 @@
       storeLost: storeSync.storeLost,
       news,
       configurationVersion: confirmation.version,
-      confirmedAgeMs: toldAgeMs(confirmation.ageMs),
+      confirmedAgeMs: advertisedAgeMs(confirmation.ageMs),
       crashes: this.#deps.crashNews.news(),
       limits: this.#deps.limitNews.news(),
-      leaving: this.#deps.serverFollower.leavingLives().slice(-MOST_LEAVING),
+      leaving: this.#deps.serverFollower.leavingLives().slice(
+        -MAX_DIGEST_LEAVING_SERVERS,
+      ),
       braked: [...releaseGate.haltedReleases()],
       ...told,
     };
--- a/src/fleet/digest_router.ts
+++ b/src/fleet/digest_router.ts
@@ -2,31 +2,31 @@
 
 import { initTRPC } from "@trpc/server";
 import {
-  type DigestAnswer,
-  type DigestQuestion,
-  digestQuestionSchema,
+  type DigestRequest,
+  digestRequestSchema,
+  type DigestResponse,
 } from "../protocol/digest_schema.ts";
 import {
-  type FeedAnswer,
-  feedQuestionSchema,
+  feedRequestSchema,
+  type FeedResponse,
 } from "../protocol/store_schema.ts";
 import {
-  type PlaceAnswer,
-  type PlaceQuestion,
-  placeQuestionSchema,
-} from "../protocol/place_schema.ts";
+  type PermitRequest,
+  permitRequestSchema,
+  type PermitResponse,
+} from "../protocol/permit_schema.ts";
 import type { StoreNews } from "./store_feed.ts";
 
 const trpc = initTRPC.create();
 
 /** Takes in what another VM tells, and tells in turn. */
 export interface DigestExchange {
-  exchange(question: DigestQuestion): DigestAnswer;
+  exchange(question: DigestRequest): DigestResponse;
 }
 
 /** Lends places at servers that take only so much from all VMs together. */
 export interface PlaceLending {
-  lend(question: PlaceQuestion): PlaceAnswer;
+  lend(question: PermitRequest): PermitResponse;
 }
 
 /** What answers the questions of other VMs. */
@@ -41,14 +41,14 @@
   { digestKeeper, storeFeed, placeLender }: DigestAnswerers,
 ) {
   return trpc.router({
-    exchange: trpc.procedure.input(digestQuestionSchema).mutation(
-      ({ input }): DigestAnswer => digestKeeper.exchange(input),
+    exchange: trpc.procedure.input(digestRequestSchema).mutation(
+      ({ input }): DigestResponse => digestKeeper.exchange(input),
     ),
-    lend: trpc.procedure.input(placeQuestionSchema).mutation(
-      ({ input }): PlaceAnswer => placeLender.lend(input),
+    lend: trpc.procedure.input(permitRequestSchema).mutation(
+      ({ input }): PermitResponse => placeLender.lend(input),
     ),
-    feed: trpc.procedure.input(feedQuestionSchema).mutation(
-      ({ input }): Promise<FeedAnswer> => storeFeed.next(input),
+    feed: trpc.procedure.input(feedRequestSchema).mutation(
+      ({ input }): Promise<FeedResponse> => storeFeed.next(input),
     ),
   });
 }
--- a/src/fleet/digest_server_test.ts
+++ b/src/fleet/digest_server_test.ts
@@ -2,9 +2,9 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import type { TRPCClient } from "@trpc/client";
 import { request } from "undici";
-import type { DigestQuestion } from "../protocol/digest_schema.ts";
+import type { DigestRequest } from "../protocol/digest_schema.ts";
 import { freePort } from "../../tests/fixtures/free_port.ts";
-import type { FeedAnswer } from "../protocol/store_schema.ts";
+import type { FeedResponse } from "../protocol/store_schema.ts";
 import type { DigestExchange, DigestRouter } from "./digest_router.ts";
 import { DigestServer } from "./digest_server.ts";
 import { VmClients } from "./vm_clients.ts";
@@ -15,7 +15,7 @@
 let server: DigestServer;
 let exchange: DigestExchange["exchange"];
 
-const NO_NEWS: FeedAnswer = {
+const NO_NEWS: FeedResponse = {
   store: { reads: true, lost: false, inTouch: true, known: [], changes: [] },
   configurationVersion: 3,
   confirmedAgeMs: 5,
@@ -36,7 +36,7 @@
 
 /** Asks for a digest as other VMs do. */
 function ask(question: unknown) {
-  return call((client) => client.exchange.mutate(question as DigestQuestion));
+  return call((client) => client.exchange.mutate(question as DigestRequest));
 }
 
 async function call<T>(ask: (client: TRPCClient<DigestRouter>) => Promise<T>) {
--- a/src/fleet/limit_news.ts
+++ b/src/fleet/limit_news.ts
@@ -6,8 +6,11 @@
   ServerLimits,
 } from "../core/servers/server_limits.ts";
 import { incarnationIdOf } from "../core/servers/server_record.ts";
-import { MOST_LIMITS, type VmDigest } from "../protocol/digest_schema.ts";
-import { toldAgeMs } from "../protocol/store_schema.ts";
+import {
+  MAX_DIGEST_RATE_LIMITS,
+  type VmDigest,
+} from "../protocol/digest_schema.ts";
+import { advertisedAgeMs } from "../protocol/store_schema.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -46,12 +49,12 @@
     const nowMs = clock.monotonicMs();
     return serverLimits.notices(nowMs)
       .sort((a, b) => b.atMs - a.atMs)
-      .slice(0, MOST_LIMITS)
+      .slice(0, MAX_DIGEST_RATE_LIMITS)
       .map(({ life, limitPerS, atMs }) => ({
         instance: life.instance,
         bornMs: life.bornMs,
         limitPerS,
-        ageMs: toldAgeMs(nowMs - atMs),
+        ageMs: advertisedAgeMs(nowMs - atMs),
       }));
   }
 
--- a/src/fleet/place_borrower.ts
+++ b/src/fleet/place_borrower.ts
@@ -7,7 +7,7 @@
   incarnationIdOf,
   type ServerRecord,
 } from "../core/servers/server_record.ts";
-import { placeAnswerSchema } from "../protocol/place_schema.ts";
+import { permitResponseSchema } from "../protocol/permit_schema.ts";
 import type { VmClients } from "./vm_clients.ts";
 
 /** Longest wait for an answer, in milliseconds: the request that waits has no other way. */
@@ -80,7 +80,7 @@
     const answer = await vmClients.call(peers, {
       timeoutMs: TIMEOUT_MS,
       ask: async (client, signal) =>
-        placeAnswerSchema.parse(
+        permitResponseSchema.parse(
           await client.lend.mutate({ instance, bornMs }, { signal }),
         ),
     });
--- a/src/fleet/place_lender.ts
+++ b/src/fleet/place_lender.ts
@@ -1,7 +1,10 @@
 /** Lends other VMs places at servers that take only so much from all VMs together. */
 
 import type { LimitAdmission } from "../core/routing/limit_admission.ts";
-import type { PlaceAnswer, PlaceQuestion } from "../protocol/place_schema.ts";
+import type {
+  PermitRequest,
+  PermitResponse,
+} from "../protocol/permit_schema.ts";
 
 interface Deps {
   readonly limitAdmission: LimitAdmission;
@@ -16,7 +19,7 @@
   }
 
   /** Lends a place out of what this VM may send, if it has one to spare. */
-  lend({ instance, bornMs }: PlaceQuestion): PlaceAnswer {
+  lend({ instance, bornMs }: PermitRequest): PermitResponse {
     return this.#deps.limitAdmission.tryGrant({ instance, bornMs });
   }
 }
--- a/src/fleet/store_feed.ts
+++ b/src/fleet/store_feed.ts
@@ -1,9 +1,9 @@
 /** Tells waiting VMs at once what this VM has read from the platform's store. */
 
 import {
-  type FeedAnswer,
-  type FeedQuestion,
-  toldAgeMs,
+  advertisedAgeMs,
+  type FeedRequest,
+  type FeedResponse,
 } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
@@ -23,7 +23,7 @@
 
 /** Answers what relays ask of a VM that reads the store. */
 export interface StoreNews {
-  next(question: FeedQuestion): Promise<FeedAnswer>;
+  next(question: FeedRequest): Promise<FeedResponse>;
 }
 
 /** Holds questions until there is news, so that news go on without a round of questions. */
@@ -38,7 +38,7 @@
   }
 
   /** Answers at once where something is new already, else with the next news. */
-  async next({ known, waitMs }: FeedQuestion): Promise<FeedAnswer> {
+  async next({ known, waitMs }: FeedRequest): Promise<FeedResponse> {
     const { storeSync, routingFollower, clock } = this.#deps;
     const askedMs = clock.monotonicMs();
     if (!this.#knowsMoreThan(known)) await this.#news(waitMs);
@@ -46,7 +46,7 @@
     return {
       store: storeSync.tell(known),
       configurationVersion: version,
-      confirmedAgeMs: toldAgeMs(ageMs),
+      confirmedAgeMs: advertisedAgeMs(ageMs),
       heldMs: Math.floor(clock.monotonicMs() - askedMs),
     };
   }
@@ -58,7 +58,7 @@
     for (const answer of [...this.#waiting]) answer();
   }
 
-  #knowsMoreThan(known: FeedQuestion["known"]): boolean {
+  #knowsMoreThan(known: FeedRequest["known"]): boolean {
     return this.#deps.storeSync.known().some(({ kind, revision }) => {
       const asker = known.find((told) => told.kind === kind);
       return asker === undefined || asker.revision < revision;
--- a/src/fleet/store_feed_test.ts
+++ b/src/fleet/store_feed_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import type { ToldStore } from "../protocol/store_schema.ts";
+import type { StoreUpdate } from "../protocol/store_schema.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { StoreSync } from "../store/store_sync.ts";
 import { StoreFeed } from "./store_feed.ts";
@@ -14,7 +14,7 @@
 let nowMs: number;
 let feed: StoreFeed;
 
-function known(): ToldStore["known"] {
+function known(): StoreUpdate["known"] {
   return [{ kind: KIND, revision }];
 }
 
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -2,7 +2,7 @@
 
 import type { EntryId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
-import { feedAnswerSchema } from "../protocol/store_schema.ts";
+import { feedResponseSchema } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { TrustClock } from "../runtime/trust_clock.ts";
@@ -90,7 +90,9 @@
     const answer = await vmClients.call(peers, {
       timeoutMs: waitMs + GRACE_MS,
       ask: async (client, signal) =>
-        feedAnswerSchema.parse(await client.feed.mutate(question, { signal })),
+        feedResponseSchema.parse(
+          await client.feed.mutate(question, { signal }),
+        ),
     });
     if (!answer.ok) return false;
     const { store, configurationVersion, confirmedAgeMs, heldMs } =
--- a/src/fleet/store_subscriber_test.ts
+++ b/src/fleet/store_subscriber_test.ts
@@ -3,7 +3,7 @@
 import type { EntryId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
 import { fail, ok } from "../core/result.ts";
-import type { FeedAnswer, FeedQuestion } from "../protocol/store_schema.ts";
+import type { FeedRequest, FeedResponse } from "../protocol/store_schema.ts";
 import { SilentLogger } from "../runtime/logger.ts";
 import { TrustClock } from "../runtime/trust_clock.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
@@ -14,7 +14,7 @@
 
 const CLOCK = { monotonicMs: () => 5_000, wallMs: () => 0 };
 const READER = { id: "vm-1" as EntryId, peers: "10.0.0.1:1" } as Member;
-const ANSWER: FeedAnswer = {
+const ANSWER: FeedResponse = {
   store: { reads: true, lost: false, inTouch: true, known: [], changes: [] },
   configurationVersion: 3,
   confirmedAgeMs: 20,
@@ -22,8 +22,8 @@
 };
 
 /** Answers to the questions to come; without one, the reader is silent. */
-let answers: FeedAnswer[];
-let asked: FeedQuestion[];
+let answers: FeedResponse[];
+let asked: FeedRequest[];
 let confirmed: { version: number; atMs: number }[];
 let heardReader: number[];
 let lost: boolean[];
@@ -38,7 +38,7 @@
   lost = [];
   readers = [READER];
   const feed = {
-    mutate: (question: FeedQuestion) => {
+    mutate: (question: FeedRequest) => {
       asked.push(question);
       return Promise.resolve(answers.shift());
     },
--- a/src/gateway/attempt_observer.ts
+++ b/src/gateway/attempt_observer.ts
@@ -158,7 +158,7 @@
       firstMs: record.firstByteMs ?? 0,
       totalMs: clock.monotonicMs() - record.startedMs,
       promptTokens: head.promptTokens,
-      outputTokens: head.outputTokens,
+      outputTokens: head.maxOutputTokens,
     });
   }
 
--- a/src/gateway/attempt_sender.ts
+++ b/src/gateway/attempt_sender.ts
@@ -15,7 +15,7 @@
 import type { ServerRecord } from "../core/servers/server_record.ts";
 import type { StallReason } from "../core/servers/server_stall_detector.ts";
 import type { PlaceBorrower } from "../fleet/place_borrower.ts";
-import { encodeBackendRequest } from "../platform/header_wire.ts";
+import { encodeBackendRequestHeaders } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { AttemptAcks } from "./attempt_acks.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
@@ -418,16 +418,16 @@
     const { exchange, body, models, stream } = this.#request;
     const { method, url, host, rawHeaders } = exchange;
     const { account, route, priority } = admitted;
-    const headers = encodeBackendRequest(rawHeaders, {
+    const headers = encodeBackendRequestHeaders(rawHeaders, {
       host,
       instance,
-      waitMs: remainingMs,
+      remainingMs: remainingMs,
       account,
       urgency: route.kind === "stream"
         ? Math.min(LOWEST_URGENCY, priority)
         : undefined,
       model: models.model,
-      lastEvent: stream.lastEvent,
+      lastEventId: stream.lastEvent,
     });
     return { method, path: url, headers, body };
   }
--- a/src/gateway/caller_exchange.ts
+++ b/src/gateway/caller_exchange.ts
@@ -6,10 +6,10 @@
 import { fail, ok, type Result } from "../core/result.ts";
 import type { AnswerHead } from "../backends/backend_try.ts";
 import {
-  answerHeadersFor,
   type CallerHead,
   decodeCallerHead,
-  ownAnswerHeaders,
+  forwardedResponseHeaders,
+  localResponseHeaders,
 } from "../platform/header_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import { nextTurn } from "../runtime/next_turn.ts";
@@ -133,7 +133,7 @@
     const { status, message, retryAfterMs } = refusalAnswer(refusal);
     const body = Buffer.from(JSON.stringify({ code: refusal.tag, message }));
     this.#begin(status, {
-      ...ownAnswerHeaders({ attempt: this.head.attempt, retryAfterMs }),
+      ...localResponseHeaders({ attempt: this.head.attempt, retryAfterMs }),
       "content-type": "application/json",
       "content-length": String(body.length),
     });
@@ -147,7 +147,7 @@
       ? headers["content-length"]
       : String(body.length);
     const bodiless = status === 204 || status === 304;
-    const kept = answerHeadersFor(headers);
+    const kept = forwardedResponseHeaders(headers);
     if (!bodiless && length !== undefined) kept["content-length"] = length;
     this.#begin(status, kept);
     this.#end(body);
@@ -157,7 +157,7 @@
   beginStream({ status, headers }: AnswerHead): void {
     if (this.#state !== "none") return;
     this.#corkForTurn();
-    this.#begin(status, answerHeadersFor(headers));
+    this.#begin(status, forwardedResponseHeaders(headers));
     this.#res.flushHeaders();
   }
 
--- a/src/gateway/control_server.ts
+++ b/src/gateway/control_server.ts
@@ -13,7 +13,7 @@
 import type { Logger } from "../runtime/logger.ts";
 import {
   ADDRESSES_PATH,
-  callerDataCentre,
+  decodeCallerDataCentre,
   encodeAddresses,
   READINESS_PATH,
 } from "../platform/caller_wire.ts";
@@ -96,7 +96,7 @@
     const { addressList } = this.#deps;
     server.get(ADDRESSES_PATH, (req, reply) => {
       const query = req.url.slice(req.url.indexOf("?") + 1);
-      const answer = addressList.answer(callerDataCentre(query));
+      const answer = addressList.answer(decodeCallerDataCentre(query));
       // Without any address to return, 503 makes the caller query another VM.
       if (answer.addresses.length === 0) return reply.code(503).send();
       return reply.type("application/json").send(encodeAddresses(answer));
--- a/src/gateway/model_cascade.ts
+++ b/src/gateway/model_cascade.ts
@@ -37,7 +37,7 @@
   ) {
     this.#modelPace = modelLatencyEstimator;
     this.#head = head;
-    if (head.choosesModel) this.#model = initialModel(route);
+    if (head.anyModel) this.#model = initialModel(route);
   }
 
   /** Model to use; undefined if the caller named one or the service has no models. */
@@ -72,7 +72,7 @@
   }
 
   #predict(model: ModelId, route: Route) {
-    const { promptTokens, outputTokens } = this.#head;
+    const { promptTokens, maxOutputTokens: outputTokens } = this.#head;
     return this.#modelPace.predict(route.id, {
       model,
       promptTokens,
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -97,7 +97,7 @@
       streaming: route.kind === "stream",
     });
     this.#limitMs = Math.min(
-      head.waitMs ?? DEFAULT_TIME_LIMIT_MS,
+      head.timeoutMs ?? DEFAULT_TIME_LIMIT_MS,
       route.timeLimitMs ?? Infinity,
     );
     this.#models = new ModelCascade(deps.modelLatencyEstimator, {
--- a/src/gateway/stop_state.ts
+++ b/src/gateway/stop_state.ts
@@ -43,7 +43,7 @@
   refusal(head: CallerHead): Refusal | undefined {
     if (this.#sinceMs === undefined) return undefined;
     const share = this.#elapsedMs() / this.#bounds.stopGraceMs;
-    const isStream = head.outputTokens > 0;
+    const isStream = head.maxOutputTokens > 0;
     if (share < (isStream ? STREAM_CUTOFF : REQUEST_CUTOFF)) return undefined;
     return { tag: "stopping" };
   }
--- a/src/gateway/stream_relay.ts
+++ b/src/gateway/stream_relay.ts
@@ -12,7 +12,7 @@
 
   constructor(exchange: CallerExchange) {
     this.#exchange = exchange;
-    this.#lastEvent = exchange.head.lastEvent;
+    this.#lastEvent = exchange.head.lastEventId;
   }
 
   /** ID of the last event that the caller has; undefined if it has none. */
--- a/src/gateway/trial_controller.ts
+++ b/src/gateway/trial_controller.ts
@@ -188,8 +188,8 @@
       exposure: {
         canaryAnswers,
         totalAnswers,
-        share: bounds.trialShare,
-        allowance: bounds.trialAllowance,
+        share: bounds.canaryShare,
+        allowance: bounds.canaryAllowance,
       },
       // Cold servers accept little work, and their answers would reflect the warm-up.
       hasServers: servers.some((server) =>
--- a/src/gateway/work_predictor.ts
+++ b/src/gateway/work_predictor.ts
@@ -68,7 +68,7 @@
     const msPerToken = observed ?? timeFactor / DEFAULT_PREFILL_TOKENS_PER_MS;
     return {
       prefillMs: 1 + msPerToken * unshared,
-      decodeMs: timeFactor * head.outputTokens * DECODE_MS_PER_OUTPUT_TOKEN,
+      decodeMs: timeFactor * head.maxOutputTokens * DECODE_MS_PER_OUTPUT_TOKEN,
       sharedPrefillMs: msPerToken * shared,
     };
   }
--- a/src/peers/peer_router.ts
+++ b/src/peers/peer_router.ts
@@ -9,13 +9,13 @@
 import type { Member } from "../core/membership/member.ts";
 import type { MemberTable } from "../core/membership/member_table.ts";
 import {
-  type HeadAnswer,
   headRequestSchema,
+  type HeadResponse,
   indirectProbeSchema,
   objectRequestSchema,
   probeSchema,
-  type VmViewAnswer,
   vmViewRequestSchema,
+  type VmViewResponse,
 } from "../protocol/peer_schema.ts";
 import type { VmViewHolder } from "./vm_view_holder.ts";
 import type { Clock } from "../runtime/clock.ts";
@@ -70,7 +70,7 @@
       deps.probeFor(input.target)
     ),
     head: trpc.procedure.input(headRequestSchema).query(
-      ({ input }): HeadAnswer => {
+      ({ input }): HeadResponse => {
         const { head } = configurationStore;
         if (head === undefined) throw new TRPCError({ code: "NOT_FOUND" });
         const known = configurationStore.earlierHead(input.known);
@@ -79,7 +79,7 @@
       },
     ),
     vmView: trpc.procedure.input(vmViewRequestSchema).query(
-      ({ input }): VmViewAnswer => {
+      ({ input }): VmViewResponse => {
         const { current } = deps.vmViewHolder;
         if (current === undefined) throw new TRPCError({ code: "NOT_FOUND" });
         const view = current.version === input.known ? null : current;
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -3,7 +3,7 @@
 import type { Revision, Sha256 } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { Result } from "../core/result.ts";
-import type { HeadAnswer, VmViewAnswer } from "../protocol/peer_schema.ts";
+import type { HeadResponse, VmViewResponse } from "../protocol/peer_schema.ts";
 import type { ProbeAnswer } from "./peer_router.ts";
 
 /** Why a call of another entry VM failed. */
@@ -27,11 +27,11 @@
   head(
     address: string,
     known: Revision,
-  ): Promise<Result<HeadAnswer, PeerError>>;
+  ): Promise<Result<HeadResponse, PeerError>>;
   /** Condensed list of VMs, unless it is still the `known` version. */
   vmView(
     address: string,
     known: string,
-  ): Promise<Result<VmViewAnswer, PeerError>>;
+  ): Promise<Result<VmViewResponse, PeerError>>;
   object(address: string, sha256: Sha256): Promise<Result<string, PeerError>>;
 }
--- a/src/peers/trpc_peers.ts
+++ b/src/peers/trpc_peers.ts
@@ -4,11 +4,11 @@
 import type { Member } from "../core/membership/member.ts";
 import type { Result } from "../core/result.ts";
 import {
-  type HeadAnswer,
-  headAnswerSchema,
-  probeAnswerSchema,
-  type VmViewAnswer,
-  vmViewAnswerSchema,
+  type HeadResponse,
+  headResponseSchema,
+  probeResponseSchema,
+  type VmViewResponse,
+  vmViewResponseSchema,
 } from "../protocol/peer_schema.ts";
 import type { Settings } from "../protocol/settings_schema.ts";
 import { parseAddress } from "../runtime/address.ts";
@@ -54,7 +54,7 @@
       ask: async (client, signal) => {
         const input = { news: [...news], joining };
         const answer = await client.probe.mutate(input, { signal });
-        return probeAnswerSchema.parse(answer);
+        return probeResponseSchema.parse(answer);
       },
     });
   }
@@ -73,23 +73,25 @@
   head(
     address: string,
     known: Revision,
-  ): Promise<Result<HeadAnswer, PeerError>> {
+  ): Promise<Result<HeadResponse, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: OBJECT_TIMEOUT_MS,
       ask: async (client, signal) =>
-        headAnswerSchema.parse(await client.head.query({ known }, { signal })),
+        headResponseSchema.parse(
+          await client.head.query({ known }, { signal }),
+        ),
     });
   }
 
   vmView(
     address: string,
     known: string,
-  ): Promise<Result<VmViewAnswer, PeerError>> {
+  ): Promise<Result<VmViewResponse, PeerError>> {
     return this.#clients.call(address, {
       timeoutMs: this.#probeTimeoutMs(),
       ask: async (client, signal) => {
         const answer = await client.vmView.query({ known }, { signal });
-        return vmViewAnswerSchema.parse(answer);
+        return vmViewResponseSchema.parse(answer);
       },
     });
   }
--- a/src/platform/caller_wire.ts
+++ b/src/platform/caller_wire.ts
@@ -18,6 +18,6 @@
 }
 
 /** Data centre that a caller says it is in; undefined if it does not say. */
-export function callerDataCentre(query: string): string | undefined {
+export function decodeCallerDataCentre(query: string): string | undefined {
   return new URLSearchParams(query).get("Zone") ?? undefined;
 }
--- a/src/platform/decode_error.ts
+++ b/src/platform/decode_error.ts
@@ -13,7 +13,7 @@
 }
 
 /** Turns the first issue of a schema into an error. */
-export function decodeErrorOf(what: string, err: z.ZodError): DecodeError {
+export function toDecodeError(what: string, err: z.ZodError): DecodeError {
   const [issue] = err.issues;
   return {
     tag: "malformed",
--- a/src/platform/header_wire.ts
+++ b/src/platform/header_wire.ts
@@ -1,4 +1,4 @@
-/** Decodes and encodes the headers of requests and answers. */
+/** Encodes and decodes the headers of requests and responses. */
 
 import type { IncomingHttpHeaders } from "node:http";
 import type {
@@ -24,11 +24,11 @@
 const LAST_EVENT = "last-event-id";
 const MS_PER_SECOND = 1_000;
 
-/** Value by which a caller leaves the choice of the model to us. */
+/** Sent by a caller that leaves the choice of the model to the router. */
 const ANY_MODEL = "*";
 
-/** Headers that concern one connection only. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection and are never forwarded. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -40,8 +40,8 @@
   "upgrade",
 ]);
 
-/** Request headers that only we may set, and those that we write anew. */
-const OWN_REQUEST_HEADERS: ReadonlySet<string> = new Set([
+/** Request headers of the caller that are not forwarded, because only the router may set or rewrite them. */
+const RESERVED_HEADERS: ReadonlySet<string> = new Set([
   DEADLINE,
   EXPECT_INSTANCE,
   ACCOUNT,
@@ -58,146 +58,151 @@
   "host",
 ]);
 
-/** A part of a prompt that other requests may share. */
+/** A prompt prefix segment that other requests may share. */
 export interface PromptPart {
   readonly id: PromptPartId;
   readonly tokens: number;
 }
 
-/** What we need to know of a caller's request. */
+/** Decoded headers of a caller's request. */
 export interface CallerHead {
   readonly attempt: AttemptId | undefined;
   readonly key: ApiKey | undefined;
-  /** How long the caller waits, in milliseconds; undefined if it does not say. */
-  readonly waitMs: number | undefined;
-  /** Undefined where the caller leaves the choice to us, or needs no model. */
+  /** How long the caller waits for the response, in milliseconds; undefined if not specified. */
+  readonly timeoutMs: number | undefined;
+  /** Undefined if the caller leaves the choice to the router or needs no model. */
   readonly model: ModelId | undefined;
-  readonly choosesModel: boolean;
-  /** Parts of the prompt in order; the last is the request's or session's own. */
+  /** Whether the caller leaves the choice of the model to the router. */
+  readonly anyModel: boolean;
+  /** Prompt segments in order; the last one belongs to this request or session alone. */
   readonly promptParts: readonly PromptPart[];
   readonly promptTokens: number;
-  /** Most tokens that may be generated. */
-  readonly outputTokens: number;
-  /** Event after which a stream goes on. */
-  readonly lastEvent: string | undefined;
+  /** Maximum number of tokens to generate. */
+  readonly maxOutputTokens: number;
+  /** Id of the last event received, after which the stream is to be resumed. */
+  readonly lastEventId: string | undefined;
 }
 
-/** What we need to know of a backend server's answer. */
+/** Decoded headers of a backend server's response. */
 export interface BackendHead {
   readonly attempt: string | undefined;
-  readonly notRun: boolean;
-  /** Whether the server vouches for the answer. */
-  readonly sealed: boolean;
-  /** How good the model takes its answer to be, 0 to 100. */
+  /** Whether the server declares that it did not process the request. */
+  readonly notProcessed: boolean;
+  /** Whether the response carries the server's seal, which confirms that the server produced it. */
+  readonly hasSeal: boolean;
+  /** The model's confidence in its answer, from 0 to 100. */
   readonly confidence: number | undefined;
   readonly encoded: boolean;
-  readonly closes: boolean;
-  /** How long the server keeps the connection open, if it says so. */
+  readonly closesConnection: boolean;
+  /** How long the server keeps an idle connection open, if specified. */
   readonly keepAliveMs: number | undefined;
-  /** Whether the length of the body is told, by a number or by chunks. */
+  /** Whether the end of the body can be detected, by `content-length` or chunked encoding. */
   readonly framed: boolean;
-  readonly isEvents: boolean;
+  readonly isEventStream: boolean;
 }
 
 /** Decodes the headers of a caller's request. */
 export function decodeCallerHead(headers: IncomingHttpHeaders): CallerHead {
-  const model = one(headers[MODEL]);
-  const [promptTokens = 0, outputTokens = 0] = (one(headers[TOKENS]) ?? "")
-    .split(",").map((text) => nonNegative(text) ?? 0);
+  const model = firstValue(headers[MODEL]);
+  const [promptTokens = 0, maxOutputTokens = 0] =
+    (firstValue(headers[TOKENS]) ?? "")
+      .split(",").map((text) => parseNonNegative(text) ?? 0);
   return {
-    attempt: one(headers[ATTEMPT]) as AttemptId | undefined,
-    key: bearerKey(headers.authorization),
-    waitMs: nonNegative(one(headers[DEADLINE])),
+    attempt: firstValue(headers[ATTEMPT]) as AttemptId | undefined,
+    key: parseBearerKey(headers.authorization),
+    timeoutMs: parseNonNegative(firstValue(headers[DEADLINE])),
     model: model === undefined || model === ANY_MODEL
       ? undefined
       : model as ModelId,
-    choosesModel: model === ANY_MODEL,
-    promptParts: decodePromptParts(one(headers[PROMPT_PARTS])),
+    anyModel: model === ANY_MODEL,
+    promptParts: decodePromptParts(firstValue(headers[PROMPT_PARTS])),
     promptTokens,
-    outputTokens,
-    lastEvent: one(headers[LAST_EVENT]),
+    maxOutputTokens,
+    lastEventId: firstValue(headers[LAST_EVENT]),
   };
 }
 
-/** What is told to a backend server besides the caller's own headers. */
+/** Values that the router sends to a backend server in addition to the caller's headers. */
 export interface BackendRequestHead {
   readonly host: string;
   readonly instance: InstanceId;
-  /** Time that is left, in milliseconds. */
-  readonly waitMs: number;
+  /** Time left until the request's deadline, in milliseconds. */
+  readonly remainingMs: number;
   readonly account: AccountId | undefined;
-  /** 0 to 9, 0 is let in first. */
+  /** From 0 to 9; 0 is admitted first. */
   readonly urgency: number | undefined;
-  /** Set where we choose the model. */
+  /** Set if the router chooses the model. */
   readonly model: ModelId | undefined;
-  /** Set where we continue a stream. */
-  readonly lastEvent: string | undefined;
+  /** Set if the router resumes a stream. */
+  readonly lastEventId: string | undefined;
 }
 
-/** Returns names and values in turn, for a backend server. */
-export function encodeBackendRequest(
+/** Returns the headers for a backend server as a flat list of alternating names and values. */
+export function encodeBackendRequestHeaders(
   rawHeaders: readonly string[],
   head: BackendRequestHead,
 ): string[] {
-  const dropped = namedByConnection(rawHeaders);
+  const dropped = connectionHeaderNames(rawHeaders);
   const lines = ["host", head.host];
-  for (const [name, value] of pairs(rawHeaders)) {
+  for (const [name, value] of headerPairs(rawHeaders)) {
     const key = name.toLowerCase();
-    if (CONNECTION_HEADERS.has(key) || OWN_REQUEST_HEADERS.has(key)) continue;
+    if (HOP_BY_HOP_HEADERS.has(key) || RESERVED_HEADERS.has(key)) continue;
     if (dropped.has(key)) continue;
     if (key === MODEL && head.model !== undefined) continue;
-    if (key === LAST_EVENT && head.lastEvent !== undefined) continue;
+    if (key === LAST_EVENT && head.lastEventId !== undefined) continue;
     lines.push(name, value);
   }
-  lines.push(DEADLINE, String(Math.max(1, Math.floor(head.waitMs))));
+  lines.push(DEADLINE, String(Math.max(1, Math.floor(head.remainingMs))));
   lines.push(EXPECT_INSTANCE, head.instance);
   if (head.account !== undefined) lines.push(ACCOUNT, head.account);
   if (head.urgency !== undefined) lines.push(URGENCY, String(head.urgency));
   if (head.model !== undefined) lines.push(MODEL, head.model);
-  if (head.lastEvent !== undefined) lines.push(LAST_EVENT, head.lastEvent);
+  if (head.lastEventId !== undefined) lines.push(LAST_EVENT, head.lastEventId);
   return lines;
 }
 
-/** Decodes the headers of a backend server's answer. */
+/** Decodes the headers of a backend server's response. */
 export function decodeBackendHead(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): BackendHead {
-  const chunked = /\bchunked\b/i.test(one(headers["transfer-encoding"]) ?? "");
+  const chunked = /\bchunked\b/i.test(
+    firstValue(headers["transfer-encoding"]) ?? "",
+  );
   return {
-    attempt: one(headers[ATTEMPT]),
-    notRun: headers[NOT_RUN] !== undefined,
-    sealed: headers[SEAL] !== undefined,
-    confidence: nonNegative(one(headers[CONFIDENCE])),
+    attempt: firstValue(headers[ATTEMPT]),
+    notProcessed: headers[NOT_RUN] !== undefined,
+    hasSeal: headers[SEAL] !== undefined,
+    confidence: parseNonNegative(firstValue(headers[CONFIDENCE])),
     encoded: headers["content-encoding"] !== undefined,
-    closes: /\bclose\b/i.test(one(headers.connection) ?? ""),
-    keepAliveMs: keepAliveMs(one(headers["keep-alive"])),
+    closesConnection: /\bclose\b/i.test(firstValue(headers.connection) ?? ""),
+    keepAliveMs: parseKeepAliveMs(firstValue(headers["keep-alive"])),
     framed: chunked || headers["content-length"] !== undefined,
-    isEvents: (one(headers["content-type"]) ?? "").includes(
+    isEventStream: (firstValue(headers["content-type"]) ?? "").includes(
       "text/event-stream",
     ),
   };
 }
 
-/** Returns the headers of an answer that travel on to the caller. */
-export function answerHeadersFor(
+/** Returns the headers of a backend server's response that are forwarded to the caller. */
+export function forwardedResponseHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[]> {
   const dropped = new Set(
-    (one(headers.connection) ?? "").split(",").map((name) =>
+    (firstValue(headers.connection) ?? "").split(",").map((name) =>
       name.trim().toLowerCase()
     ),
   );
-  const kept: Record<string, string | string[]> = {};
+  const forwarded: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || CONNECTION_HEADERS.has(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
     if (name === "content-length" || dropped.has(name)) continue;
-    kept[name] = value;
+    forwarded[name] = value;
   }
-  return kept;
+  return forwarded;
 }
 
-/** Headers of an answer of our own. */
-export function ownAnswerHeaders(
+/** Returns headers for a response that the router generates itself. */
+export function localResponseHeaders(
   { attempt, retryAfterMs }: {
     attempt: string | undefined;
     retryAfterMs: number | undefined;
@@ -215,40 +220,42 @@
   if (text === undefined || text === "") return [];
   return text.split(",").map((part) => {
     const [id = "", tokens = ""] = part.trim().split(":");
-    return { id: id as PromptPartId, tokens: nonNegative(tokens) ?? 0 };
+    return { id: id as PromptPartId, tokens: parseNonNegative(tokens) ?? 0 };
   });
 }
 
-function bearerKey(header: string | undefined): ApiKey | undefined {
+function parseBearerKey(header: string | undefined): ApiKey | undefined {
   const match = /^Bearer\s+(\S+)\s*$/i.exec(header ?? "");
   return match?.[1] as ApiKey | undefined;
 }
 
-function keepAliveMs(text: string | undefined): number | undefined {
+function parseKeepAliveMs(text: string | undefined): number | undefined {
   const match = /timeout=(\d+)/i.exec(text ?? "");
   return match === null ? undefined : Number(match[1]) * MS_PER_SECOND;
 }
 
-function namedByConnection(rawHeaders: readonly string[]): Set<string> {
+function connectionHeaderNames(rawHeaders: readonly string[]): Set<string> {
   const names = new Set<string>();
-  for (const [name, value] of pairs(rawHeaders)) {
+  for (const [name, value] of headerPairs(rawHeaders)) {
     if (name.toLowerCase() !== "connection") continue;
     for (const item of value.split(",")) names.add(item.trim().toLowerCase());
   }
   return names;
 }
 
-function* pairs(rawHeaders: readonly string[]): Generator<[string, string]> {
+function* headerPairs(
+  rawHeaders: readonly string[],
+): Generator<[string, string]> {
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
     yield [rawHeaders[at] ?? "", rawHeaders[at + 1] ?? ""];
   }
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-function nonNegative(text: string | undefined): number | undefined {
+function parseNonNegative(text: string | undefined): number | undefined {
   if (text === undefined || text.trim() === "") return undefined;
   const value = Number(text);
   return Number.isFinite(value) && value >= 0 ? value : undefined;
--- a/src/platform/header_wire_test.ts
+++ b/src/platform/header_wire_test.ts
@@ -2,24 +2,24 @@
 import { describe, it } from "node:test";
 import type { AccountId, InstanceId, ModelId } from "../core/ids.ts";
 import {
-  answerHeadersFor,
   decodeBackendHead,
   decodeCallerHead,
-  encodeBackendRequest,
+  encodeBackendRequestHeaders,
+  forwardedResponseHeaders,
 } from "./header_wire.ts";
 
 const HEAD = {
   host: "shop.example",
   instance: "i-1" as InstanceId,
-  waitMs: 750.9,
+  remainingMs: 750.9,
   account: "garden" as AccountId,
   urgency: undefined,
   model: undefined,
-  lastEvent: undefined,
+  lastEventId: undefined,
 };
 
-function sent(raw: string[], head = HEAD): Map<string, string> {
-  const lines = encodeBackendRequest(raw, head);
+function encodedHeaders(raw: string[], head = HEAD): Map<string, string> {
+  const lines = encodeBackendRequestHeaders(raw, head);
   const headers = new Map<string, string>();
   for (let at = 0; at < lines.length; at += 2) {
     headers.set(String(lines[at]).toLowerCase(), String(lines[at + 1]));
@@ -28,8 +28,8 @@
 }
 
 describe("headers", () => {
-  it("should not pass on what is the system's to set, nor the key", () => {
-    const headers = sent([
+  it("should not forward reserved headers or the API key", () => {
+    const headers = encodedHeaders([
       "Authorization",
       "Bearer secret",
       "Fieldrack-Hold",
@@ -62,8 +62,8 @@
     assert.equal(headers.get("fieldrack-deadline-ms"), "750");
   });
 
-  it("should drop what concerns one connection, also what it names", () => {
-    const headers = sent([
+  it("should drop hop-by-hop headers and those listed in `Connection`", () => {
+    const headers = encodedHeaders([
       "Connection",
       "keep-alive, X-Hop",
       "X-Hop",
@@ -78,16 +78,16 @@
     assert.equal(headers.get("x-kept"), "1");
   });
 
-  it("should replace model and event only where the system chooses them", () => {
+  it("should replace the model and the last event id only if the router sets them", () => {
     const raw = ["Fieldrack-Model", "*", "Last-Event-Id", "3"];
-    assert.equal(sent(raw).get("fieldrack-model"), "*");
-    const head = { ...HEAD, model: "m2" as ModelId, lastEvent: "5" };
-    const headers = sent(raw, head as unknown as typeof HEAD);
+    assert.equal(encodedHeaders(raw).get("fieldrack-model"), "*");
+    const head = { ...HEAD, model: "m2" as ModelId, lastEventId: "5" };
+    const headers = encodedHeaders(raw, head as unknown as typeof HEAD);
     assert.equal(headers.get("fieldrack-model"), "m2");
     assert.equal(headers.get("last-event-id"), "5");
   });
 
-  it("should decode a caller's request", () => {
+  it("should decode the headers of a caller's request", () => {
     const head = decodeCallerHead({
       authorization: "Bearer key",
       "fieldrack-attempt-id": "9c41",
@@ -97,14 +97,14 @@
       "fieldrack-deadline-ms": "8000",
     });
     assert.equal(head.key, "key");
-    assert.equal(head.choosesModel, true);
+    assert.equal(head.anyModel, true);
     assert.equal(head.promptTokens, 1_460);
-    assert.equal(head.outputTokens, 80);
+    assert.equal(head.maxOutputTokens, 80);
     assert.deepEqual(head.promptParts.map(({ tokens }) => tokens), [800, 410]);
-    assert.equal(head.waitMs, 8_000);
+    assert.equal(head.timeoutMs, 8_000);
   });
 
-  it("should decode a server's answer", () => {
+  it("should decode the headers of a backend server's response", () => {
     const head = decodeBackendHead({
       "keep-alive": "timeout=5",
       connection: "close",
@@ -113,14 +113,14 @@
       "fieldrack-confidence": "42",
     });
     assert.equal(head.keepAliveMs, 5_000);
-    assert.equal(head.closes, true);
+    assert.equal(head.closesConnection, true);
     assert.equal(head.framed, true);
-    assert.equal(head.notRun, true);
+    assert.equal(head.notProcessed, true);
     assert.equal(head.confidence, 42);
   });
 
-  it("should keep an answer's own headers but not those of its connection", () => {
-    const kept = answerHeadersFor({
+  it("should forward end-to-end response headers but not hop-by-hop ones", () => {
+    const kept = forwardedResponseHeaders({
       connection: "close, x-hop",
       "x-hop": "1",
       "fieldrack-server-seal": "s",
--- a/src/platform/http_object_store.ts
+++ b/src/platform/http_object_store.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's store over HTTP. */
+/** HTTP client of the platform's object store. */
 
 import { Agent, type Dispatcher, request } from "undici";
 import * as z from "zod";
@@ -15,14 +15,14 @@
   StoreListing,
 } from "./object_store.ts";
 
-/** Connections: each waiting watch holds one, the other calls share the rest. */
-const CONNECTIONS = 8;
-/** Wait for a connection; the store answers in milliseconds when it is there. */
+/** Each pending watch occupies one connection; all other calls share the remaining ones. */
+const MAX_CONNECTIONS = 8;
+/** A reachable store accepts a connection within milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Wait for the answer to a watch beyond the time that was asked for. */
-const WATCH_GRACE_MS = 1_500;
-/** Pages of one list, at most; a page holds some 500 objects. */
-const MAX_PAGES = 100;
+/** Added to the requested wait of a watch before the client times it out. */
+const WATCH_TIMEOUT_MARGIN_MS = 1_500;
+/** A page holds about 500 objects. */
+const MAX_LIST_PAGES = 100;
 
 const objectSchema = z.object({
   Metadata: z.object({ Name: z.string(), Revision: z.number() }),
@@ -35,7 +35,7 @@
   status: Status,
 }));
 
-/** Name of an object of which nothing else may be readable; for going on after it. */
+/** Reads only the name, so that a malformed object can still serve as the start of the next page. */
 const nameSchema = z.object({ Metadata: z.object({ Name: z.string() }) })
   .transform(({ Metadata }) => Metadata.Name);
 
@@ -44,8 +44,8 @@
   HasMore: z.boolean().default(false),
   StoreRevision: z.number(),
 }).transform(({ Entries, HasMore, StoreRevision }) => ({
-  objects: Entries.flatMap((entry) => readable(objectSchema, entry)),
-  lastName: Entries.flatMap((entry) => readable(nameSchema, entry)).at(-1),
+  objects: Entries.flatMap((entry) => parseOrSkip(objectSchema, entry)),
+  lastName: Entries.flatMap((entry) => parseOrSkip(nameSchema, entry)).at(-1),
   hasMore: HasMore,
   revision: StoreRevision,
 }));
@@ -59,43 +59,43 @@
   events: z.array(z.unknown()).default([]),
   StoreRevision: z.number(),
 }).transform(({ events, StoreRevision }): StoreChanges => ({
-  events: events.flatMap((event) => readable(eventSchema, event)),
+  events: events.flatMap((event) => parseOrSkip(eventSchema, event)),
   revision: StoreRevision,
 }));
 
-/** What is not an object as the store keeps them is passed over; the others hold. */
-function readable<T>(schema: z.ZodType<T>, value: unknown): T[] {
+/** Returns the parsed value, or an empty array if it is malformed, so that it does not fail the whole list. */
+function parseOrSkip<T>(schema: z.ZodType<T>, value: unknown): T[] {
   const parsed = schema.safeParse(value);
   return parsed.success ? [parsed.data] : [];
 }
 
-interface Exchange extends StoreCall {
+interface StoreRequest extends StoreCall {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
   readonly body?: unknown;
 }
 
-interface Answer {
+interface StoreResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Speaks the platform's object API. */
+/** Client of the platform's object API. */
 export class HttpObjectStore implements ObjectStore {
   readonly #url: string;
   readonly #agent = new Agent({
-    connections: CONNECTIONS,
+    connections: MAX_CONNECTIONS,
     pipelining: 1,
     connect: { timeout: CONNECT_TIMEOUT_MS },
   });
   #calls = 0;
 
-  /** `address` is the store's `IP:port`. */
+  /** Takes the store's address as `IP:port`. */
   constructor(address: string) {
     this.#url = `http://${address}`;
   }
 
-  /** Calls made so far, watches included. */
+  /** Number of calls made so far, including watches. */
   get calls(): number {
     return this.#calls;
   }
@@ -116,20 +116,20 @@
   ): Promise<Result<StoreListing, StoreError>> {
     const objects: StoredObject[] = [];
     let after = "";
-    // Events are followed from the first page on, so that no change between pages is
-    // missed; those that a later page shows already are merely seen twice.
+    // The revision of the first page is returned, so that a watch from there misses no change made
+    // between two pages. Changes already included in a later page are reported twice.
     let revision: number | undefined;
-    for (let page = 0; page < MAX_PAGES; page++) {
+    for (let page = 0; page < MAX_LIST_PAGES; page++) {
       const query = after === "" ? "" : `?After=${encodeURIComponent(after)}`;
       const path = `${kindPath(kind)}${query}`;
-      const answer = await this.#call(
+      const response = await this.#call(
         { ...call, method: "GET", path },
         listSchema,
       );
-      if (!answer.ok) return answer;
-      const { lastName, hasMore } = answer.value;
-      objects.push(...answer.value.objects);
-      revision ??= answer.value.revision;
+      if (!response.ok) return response;
+      const { lastName, hasMore } = response.value;
+      objects.push(...response.value.objects);
+      revision ??= response.value.revision;
       if (!hasMore || lastName === undefined) break;
       after = lastName;
     }
@@ -144,7 +144,7 @@
     },
   ): Promise<Result<StoreChanges, StoreError>> {
     const path = `${kindPath(kind)}?Watch=${revision}&WaitMs=${waitMs}`;
-    const timeoutMs = waitMs + WATCH_GRACE_MS;
+    const timeoutMs = waitMs + WATCH_TIMEOUT_MARGIN_MS;
     return this.#call(
       { method: "GET", path, timeoutMs, signal },
       changesSchema,
@@ -186,34 +186,37 @@
     );
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
   async #call<T>(
-    exchange: Exchange,
+    storeRequest: StoreRequest,
     schema: z.ZodType<T>,
   ): Promise<Result<T, StoreError>> {
     this.#calls += 1;
-    const { timeoutMs: limitMs, signal } = exchange;
+    const { timeoutMs: limitMs, signal } = storeRequest;
     try {
-      const answer = await withDeadline(
+      const response = await withDeadline(
         { limitMs, signal },
-        (deadline) => this.#send(exchange, deadline),
+        (deadline) => this.#send(storeRequest, deadline),
       );
-      return parseAnswer(answer, schema);
+      return parseResponse(response, schema);
     } catch (err) {
-      return fail(connectionError(err));
+      return fail(toStoreError(err));
     }
   }
 
-  async #send(exchange: Exchange, { signal }: Deadline): Promise<Answer> {
-    const body = exchange.body === undefined
+  async #send(
+    storeRequest: StoreRequest,
+    { signal }: Deadline,
+  ): Promise<StoreResponse> {
+    const body = storeRequest.body === undefined
       ? undefined
-      : JSON.stringify(exchange.body);
-    const res = await request(`${this.#url}${exchange.path}`, {
-      method: exchange.method,
+      : JSON.stringify(storeRequest.body);
+    const res = await request(`${this.#url}${storeRequest.path}`, {
+      method: storeRequest.method,
       body,
       headers: body === undefined ? {} : { "content-type": "application/json" },
       dispatcher: this.#agent,
@@ -232,7 +235,7 @@
   return `${kindPath(kind)}/${encodeURIComponent(name)}`;
 }
 
-/** A body that is no JSON says nothing; the status may say enough without it. */
+/** Returns undefined if the body is not JSON, because the status alone may determine the outcome. */
 function parseBody(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -241,8 +244,8 @@
   }
 }
 
-function parseAnswer<T>(
-  { status, body }: Answer,
+function parseResponse<T>(
+  { status, body }: StoreResponse,
   schema: z.ZodType<T>,
 ): Result<T, StoreError> {
   switch (status) {
@@ -264,10 +267,13 @@
   }
   const parsed = schema.safeParse(body);
   if (parsed.success) return ok(parsed.data);
-  return fail({ tag: "uncertain", reason: "answer of an unknown form" });
+  return fail({
+    tag: "uncertain",
+    reason: "response body does not match the expected schema",
+  });
 }
 
-function connectionError(err: unknown): StoreError {
+function toStoreError(err: unknown): StoreError {
   const { code, message } = err as NodeJS.ErrnoException;
   if (code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT") {
     return { tag: "unavailable", reason: code };
--- a/src/platform/http_object_store_test.ts
+++ b/src/platform/http_object_store_test.ts
@@ -22,11 +22,11 @@
   await standin.close();
 });
 
-describe("client of the store", () => {
-  it("should make, read and replace objects by their revision", async () => {
-    const made = await store.create(KEY, { ...CALL, spec: { n: 1 } });
-    assert.ok(made.ok);
-    const { revision } = made.value;
+describe("HttpObjectStore", () => {
+  it("should create, read and replace objects by revision", async () => {
+    const created = await store.create(KEY, { ...CALL, spec: { n: 1 } });
+    assert.ok(created.ok);
+    const { revision } = created.value;
     const replaced = await store.replace(KEY, {
       ...CALL,
       spec: { n: 2 },
@@ -43,13 +43,13 @@
     assert.equal(!stale.ok && stale.error.tag, "conflict");
   });
 
-  it("should keep what is declared when the status is replaced", async () => {
-    const made = await store.create(KEY, { ...CALL, spec: { n: 1 } });
-    assert.ok(made.ok);
+  it("should keep the spec when the status is replaced", async () => {
+    const created = await store.create(KEY, { ...CALL, spec: { n: 1 } });
+    assert.ok(created.ok);
     const written = await store.replaceStatus(KEY, {
       ...CALL,
       status: "done",
-      revision: made.value.revision,
+      revision: created.value.revision,
     });
     assert.deepEqual(written.ok && written.value.spec, { n: 1 });
     assert.equal(written.ok && written.value.status, "done");
@@ -66,8 +66,8 @@
     );
   });
 
-  // A list that holds one such object was refused as a whole: no server was known then.
-  it("should pass over objects that cannot be read, in lists and changes", async () => {
+  // Guards against one malformed object failing the whole list, which left the VM with no servers at all.
+  it("should skip malformed objects in lists and changes", async () => {
     const revision = standin.kinds.revision;
     standin.kinds.put("things", { name: "a", spec: {} });
     standin.kinds.put("things", {
@@ -91,7 +91,7 @@
     );
   });
 
-  it("should hear of changes and removals, and that history is lost", async () => {
+  it("should report changes, removals and lost history", async () => {
     const listing = await store.list("things", CALL);
     assert.ok(listing.ok);
     const { revision } = listing.value;
@@ -111,10 +111,10 @@
     assert.equal(!lost.ok && lost.error.tag, "history_lost");
   });
 
-  it("should tell a store that is away from a write that may have happened", async () => {
+  it("should distinguish an unavailable store from a write with an unknown outcome", async () => {
     standin.setFaults({ down: true });
-    const away = await store.get(KEY, CALL);
-    assert.equal(!away.ok && away.error.tag, "unavailable");
+    const unavailable = await store.get(KEY, CALL);
+    assert.equal(!unavailable.ok && unavailable.error.tag, "unavailable");
     standin.setFaults({ loseWriteAnswers: true });
     const lost = await store.create(KEY, { ...CALL, spec: {} });
     assert.equal(!lost.ok && lost.error.tag, "uncertain");
@@ -122,8 +122,8 @@
   });
 });
 
-/** Statuses that say all there is to know, and what each is taken for. */
-const SAYING: readonly [number, string][] = [
+/** Statuses that determine the error even if the body cannot be parsed. */
+const ERROR_TAG_BY_STATUS: readonly [number, string][] = [
   [404, "missing"],
   [409, "conflict"],
   [410, "history_lost"],
@@ -133,11 +133,11 @@
   [200, "uncertain"],
 ];
 
-describe("an answer of the store that cannot be read", () => {
-  // Found by reading: the body was parsed before the status was looked at, so that a 410 with any
-  // other body than JSON was no lost history, and its watch was asked for again without end.
-  for (const [status, tag] of SAYING) {
-    it(`should be taken for ${tag} by status ${status}`, async () => {
+describe("HttpObjectStore with an unparsable response body", () => {
+  // Guards against parsing the body before checking the status: a 410 with a non-JSON body was not
+  // recognised as lost history, so the watch was repeated endlessly.
+  for (const [status, tag] of ERROR_TAG_BY_STATUS) {
+    it(`should report ${tag} for status ${status}`, async () => {
       const server = createServer((_req, res) => {
         res.writeHead(status, { "content-type": "text/html" }).end("<p>sorry");
       });
--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -1,4 +1,4 @@
-/** The platform's object API over HTTP. */
+/** HTTP client of the platform's object API. */
 
 import { type Agent, type Dispatcher, request } from "undici";
 import type * as z from "zod";
@@ -16,8 +16,8 @@
 import { meteredAgent, SocketMeter } from "../runtime/socket_meter.ts";
 import type {
   CallLimits,
-  ListedVms,
-  ListInput,
+  ListVmsInput,
+  ListVmsResult,
   Platform,
   PlatformError,
   WatchInput,
@@ -25,12 +25,12 @@
 } from "./platform.ts";
 
 const DEFAULT_RETRY_AFTER_MS = 1_000;
-/** Connections: a watch holds one for long, the others are shared by all calls. */
-const CONNECTIONS = 4;
-/** Wait for the answer to a watch beyond the time that was asked for. */
-const WATCH_GRACE_MS = 1_000;
+/** A pending watch occupies one connection; all other calls share the remaining ones. */
+const MAX_CONNECTIONS = 4;
+/** Added to the requested wait of a watch before the client times it out. */
+const WATCH_TIMEOUT_MARGIN_MS = 1_000;
 
-interface Call {
+interface PlatformRequest {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
   readonly timeoutMs: number;
@@ -39,14 +39,14 @@
   readonly signal?: AbortSignal;
 }
 
-interface Answer {
+interface PlatformResponse {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterMs: number;
   readonly etag: string;
 }
 
-/** Client of the platform. */
+/** Client of the platform's object API. */
 export class HttpPlatform implements Platform {
   readonly #url: string;
   readonly #timeoutMs: number;
@@ -61,13 +61,13 @@
     },
   ) {
     this.#agent = meteredAgent(meter ?? new SocketMeter(), {
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
     });
     this.#url = url.replace(/\/$/, "");
     this.#timeoutMs = timeoutMs;
   }
 
-  /** Calls made so far, watches included. */
+  /** Number of calls made so far, including watches. */
   get calls(): number {
     return this.#calls;
   }
@@ -76,15 +76,15 @@
     key: string,
     limits: CallLimits = {},
   ): Promise<Result<PlatformObject, PlatformError>> {
-    const answer = await this.#call({
+    const response = await this.#call({
       method: "GET",
       path: objectPath(key),
       timeoutMs: this.#timeoutMs,
       ...limits,
     });
-    if (!answer.ok) return answer;
-    if (answer.value.status === 404) return fail({ tag: "missing", key });
-    return parseAnswer(answer.value, platformObjectSchema);
+    if (!response.ok) return response;
+    if (response.value.status === 404) return fail({ tag: "missing", key });
+    return parseResponse(response.value, platformObjectSchema);
   }
 
   async put(
@@ -94,7 +94,7 @@
     const condition: Record<string, string> = expectedVersion === 0
       ? { "if-none-match": "*" }
       : { "if-match": String(expectedVersion) };
-    const answer = await this.#call({
+    const response = await this.#call({
       method: "PUT",
       path: objectPath(key),
       timeoutMs: this.#timeoutMs,
@@ -102,16 +102,18 @@
       headers: { "content-type": "text/plain", ...condition },
       signal,
     });
-    if (!answer.ok) return answer;
-    if (answer.value.status === 412) {
-      const conflict = parseAnswer(answer.value, platformConflictSchema, [412]);
+    if (!response.ok) return response;
+    if (response.value.status === 412) {
+      const conflict = parseResponse(response.value, platformConflictSchema, [
+        412,
+      ]);
       if (!conflict.ok) return conflict;
       return fail({
         tag: "conflict",
         currentVersion: conflict.value.current_version,
       });
     }
-    const written = parseAnswer(answer.value, platformWriteSchema);
+    const written = parseResponse(response.value, platformWriteSchema);
     return written.ok ? ok(written.value.version) : written;
   }
 
@@ -119,75 +121,80 @@
     key: string,
     { afterVersion, waitMs, signal }: WatchInput,
   ): Promise<Result<PlatformObject | undefined, PlatformError>> {
-    const answer = await this.#call({
+    const response = await this.#call({
       method: "GET",
       path: `${
         objectPath(key)
       }?after_version=${afterVersion}&wait_ms=${waitMs}`,
-      timeoutMs: waitMs + WATCH_GRACE_MS,
+      timeoutMs: waitMs + WATCH_TIMEOUT_MARGIN_MS,
       signal,
     });
-    if (!answer.ok) return answer;
-    if (answer.value.status === 204) return ok(undefined);
-    return parseAnswer(answer.value, platformObjectSchema);
+    if (!response.ok) return response;
+    if (response.value.status === 204) return ok(undefined);
+    return parseResponse(response.value, platformObjectSchema);
   }
 
   async listKeys(
     prefix: string,
     limits: CallLimits = {},
   ): Promise<Result<readonly string[], PlatformError>> {
-    const answer = await this.#call({
+    const response = await this.#call({
       method: "GET",
       path: `/v1/objects?prefix=${encodeURIComponent(prefix)}`,
       timeoutMs: this.#timeoutMs,
       ...limits,
     });
-    if (!answer.ok) return answer;
-    const listed = parseAnswer(answer.value, platformKeysSchema);
+    if (!response.ok) return response;
+    const listed = parseResponse(response.value, platformKeysSchema);
     return listed.ok ? ok(listed.value.keys) : listed;
   }
 
   async listVms(
-    { etag, signal }: ListInput,
-  ): Promise<Result<ListedVms, PlatformError>> {
-    const answer = await this.#call({
+    { etag, signal }: ListVmsInput,
+  ): Promise<Result<ListVmsResult, PlatformError>> {
+    const response = await this.#call({
       method: "GET",
       path: "/v1/vms",
       timeoutMs: this.#timeoutMs,
       headers: { "if-none-match": etag },
       signal,
     });
-    if (!answer.ok) return answer;
-    if (answer.value.status === 304) return ok({ list: undefined, etag });
-    const list = parseAnswer(answer.value, vmListSchema);
-    return list.ok ? ok({ list: list.value, etag: answer.value.etag }) : list;
+    if (!response.ok) return response;
+    if (response.value.status === 304) return ok({ list: undefined, etag });
+    const list = parseResponse(response.value, vmListSchema);
+    return list.ok ? ok({ list: list.value, etag: response.value.etag }) : list;
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
-  async #call(call: Call): Promise<Result<Answer, PlatformError>> {
+  async #call(
+    platformRequest: PlatformRequest,
+  ): Promise<Result<PlatformResponse, PlatformError>> {
     this.#calls += 1;
-    const { timeoutMs: limitMs, signal } = call;
+    const { timeoutMs: limitMs, signal } = platformRequest;
     try {
       return ok(
         await withDeadline(
           { limitMs, signal },
-          (deadline) => this.#send(call, deadline),
+          (deadline) => this.#send(platformRequest, deadline),
         ),
       );
     } catch (err) {
-      return fail(connectionError(err));
+      return fail(toPlatformError(err));
     }
   }
 
-  async #send(call: Call, { signal }: Deadline): Promise<Answer> {
-    const res = await request(`${this.#url}${call.path}`, {
-      method: call.method,
-      body: call.body,
-      headers: call.headers,
+  async #send(
+    platformRequest: PlatformRequest,
+    { signal }: Deadline,
+  ): Promise<PlatformResponse> {
+    const res = await request(`${this.#url}${platformRequest.path}`, {
+      method: platformRequest.method,
+      body: platformRequest.body,
+      headers: platformRequest.headers,
       dispatcher: this.#agent,
       signal,
     });
@@ -207,8 +214,8 @@
   return `/v1/objects/${encodeURIComponent(key)}`;
 }
 
-function parseAnswer<T>(
-  { status, body, retryAfterMs }: Answer,
+function parseResponse<T>(
+  { status, body, retryAfterMs }: PlatformResponse,
   schema: z.ZodType<T>,
   statuses: readonly number[] = [200, 201],
 ): Result<T, PlatformError> {
@@ -219,10 +226,13 @@
   }
   const parsed = schema.safeParse(body);
   if (parsed.success) return ok(parsed.data);
-  return fail({ tag: "uncertain", reason: "answer of an unknown form" });
+  return fail({
+    tag: "uncertain",
+    reason: "response body does not match the expected schema",
+  });
 }
 
-function connectionError(err: unknown): PlatformError {
+function toPlatformError(err: unknown): PlatformError {
   const { code, message } = err as NodeJS.ErrnoException;
   if (code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT") {
     return { tag: "unavailable", reason: code };
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -35,13 +35,13 @@
 }
 
 /** A question for the list of VMs. */
-export interface ListInput extends CallLimits {
+export interface ListVmsInput extends CallLimits {
   /** Tag of the list that is known already; empty when none is. */
   readonly etag: string;
 }
 
 /** The list of VMs, unless it is still the known one. */
-export interface ListedVms {
+export interface ListVmsResult {
   readonly list: VmList | undefined;
   readonly etag: string;
 }
@@ -63,7 +63,7 @@
     prefix: string,
     limits?: CallLimits,
   ): Promise<Result<readonly string[], PlatformError>>;
-  listVms(input: ListInput): Promise<Result<ListedVms, PlatformError>>;
+  listVms(input: ListVmsInput): Promise<Result<ListVmsResult, PlatformError>>;
 }
 
 /** Says in words why a call failed. */
--- a/src/platform/roll_out_wire.ts
+++ b/src/platform/roll_out_wire.ts
@@ -7,7 +7,7 @@
   RollOutOrder,
   RollOutState,
 } from "../core/servers/roll_out_order.ts";
-import { type DecodeError, decodeErrorOf } from "./decode_error.ts";
+import { type DecodeError, toDecodeError } from "./decode_error.ts";
 
 /** Kind of roll-outs in the store. */
 export const ROLL_OUT_KIND = "rollouts";
@@ -32,11 +32,11 @@
 ): Result<RollOutOrder, DecodeError> {
   const order = orderSchema.safeParse(spec);
   if (!order.success) {
-    return fail(decodeErrorOf(`roll-out ${name}`, order.error));
+    return fail(toDecodeError(`roll-out ${name}`, order.error));
   }
   const known = statusSchema.safeParse(status);
   if (!known.success) {
-    return fail(decodeErrorOf(`status of roll-out ${name}`, known.error));
+    return fail(toDecodeError(`status of roll-out ${name}`, known.error));
   }
   return ok({
     service: order.data.Service as ServiceId,
--- a/src/platform/routing_wire.ts
+++ b/src/platform/routing_wire.ts
@@ -15,15 +15,15 @@
   RoutingConfiguration,
   Service,
 } from "../core/routes/route.ts";
-import { type DecodeError, decodeErrorOf } from "./decode_error.ts";
+import { type DecodeError, toDecodeError } from "./decode_error.ts";
 
-/** Where the configuration lies in the store. */
+/** Kind and name of the configuration object in the store. */
 export const CONFIGURATION_KIND = "config";
 export const CONFIGURATION_NAME = "main";
 
-const DEFAULT_RUNS = 1;
+const DEFAULT_MAX_ATTEMPTS = 1;
 const MS_PER_SECOND = 1_000;
-/** Limits where a configuration names none; the users' example has these. */
+/** Used if a configuration sets no limits; the same values as in the users' example. */
 const DEFAULT_LIMITS = {
   MaxHeaderBytes: 16_384,
   MaxBodyBytes: 4_194_304,
@@ -31,7 +31,7 @@
   IdleTimeoutMs: 15_000,
 };
 
-const KINDS: Readonly<Record<string, RouteKind>> = {
+const KIND_BY_ROUTE_TYPE: Readonly<Record<string, RouteKind>> = {
   idempotent: "repeatable",
   non_idempotent: "once",
   streaming: "stream",
@@ -46,7 +46,7 @@
   PathPrefix: z.string().startsWith("/"),
   RouteType: z.enum(["idempotent", "non_idempotent", "streaming"]),
   Service: optional(z.string()),
-  // Weights are relative and need not add up to anything.
+  // Weights are relative and need not add up to a fixed total.
   WeightedServices: optional(
     z.array(z.object({ Service: z.string(), Weight: z.number().min(0) })),
   ),
@@ -93,13 +93,13 @@
 type RouteWire = z.infer<typeof routeSchema>;
 type ServiceWire = z.infer<typeof serviceSchema>;
 
-/** Decodes a configuration; fields it does not know are passed over. */
+/** Decodes a configuration; unknown fields are ignored. */
 export function decodeConfiguration(
   spec: unknown,
 ): Result<RoutingConfiguration, DecodeError> {
   const parsed = configurationSchema.safeParse(spec);
   if (!parsed.success) {
-    return fail(decodeErrorOf("configuration", parsed.error));
+    return fail(toDecodeError("configuration", parsed.error));
   }
   const wire = parsed.data;
   return ok({
@@ -127,12 +127,12 @@
     id: wire.Name as RouteId,
     host: wire.Hostname,
     pathPrefix: wire.PathPrefix,
-    kind: KINDS[wire.RouteType] ?? "once",
+    kind: KIND_BY_ROUTE_TYPE[wire.RouteType] ?? "once",
     targets: weighted.map(({ Service, Weight }) => ({
       service: Service as ServiceId,
       weight: Weight,
     })),
-    maxRuns: wire.MaxAttempts ?? DEFAULT_RUNS,
+    maxRuns: wire.MaxAttempts ?? DEFAULT_MAX_ATTEMPTS,
     timeLimitMs: wire.TimeoutMs,
     targetMs: wire.TargetLatencyMs,
     longestPauseMs: wire.GapTargetMs,
--- a/src/platform/server_notice_wire_test.ts
+++ b/src/platform/server_notice_wire_test.ts
@@ -6,8 +6,8 @@
 const DATE = "Thu, 03 Dec 2026 04:00:00 GMT";
 const LATER = "Thu, 03 Dec 2026 04:00:07 GMT";
 
-/** Values of the header and the rest that each asks for, in milliseconds. */
-const RESTS: readonly [string | string[], number][] = [
+/** Values of `retry-after` and the backoff that each requests, in milliseconds. */
+const BACKOFFS: readonly [string | string[], number][] = [
   ["3", 3_000],
   ["0.25", 250],
   [".5", 500],
@@ -31,7 +31,7 @@
   ["Thu, 03 Dec 2026 03:59:00 GMT", 0],
 ];
 
-/** Values of the header and the requests a second that each names. */
+/** Values of `server-limit` and the rate limit that each sets, in requests per second. */
 const LIMITS: readonly [string | string[] | undefined, number | undefined][] = [
   [undefined, undefined],
   ["2.1", 2.1],
@@ -49,26 +49,26 @@
   [["many", "2"], 2],
 ];
 
-describe("a server's notice", () => {
-  for (const [value, restMs] of RESTS) {
-    it(`should ask for ${restMs} ms by "${value}"`, () => {
+describe("decodeServerNotice", () => {
+  for (const [value, restMs] of BACKOFFS) {
+    it(`should decode a backoff of ${restMs} ms from "${value}"`, () => {
       const headers = { "retry-after": value, date: DATE };
       assert.equal(decodeServerNotice(503, headers).restMs, restMs);
     });
   }
 
-  it("should read no moment where the server does not tell its time", () => {
+  it("should ignore a retry-after date if the response has no date header", () => {
     assert.equal(decodeServerNotice(503, { "retry-after": LATER }).restMs, 0);
   });
 
-  it("should ask for rest by 503 only", () => {
+  it("should decode a backoff only from status 503", () => {
     for (const status of [200, 400, 421, 429, 500, 502, 504]) {
       const notice = decodeServerNotice(status, { "retry-after": "3" });
       assert.equal(notice.restMs, 0);
     }
   });
 
-  it("should say by every status that the server leaves", () => {
+  it("should decode that the server is leaving from any status", () => {
     for (const status of [200, 404, 429, 500, 503]) {
       const headers = { "server-leaving": "1" };
       assert.ok(decodeServerNotice(status, headers).leaves);
@@ -81,7 +81,7 @@
   });
 
   for (const [value, limitPerS] of LIMITS) {
-    it(`should name a limit of ${limitPerS} by "${value}"`, () => {
+    it(`should decode a rate limit of ${limitPerS} from "${value}"`, () => {
       for (const status of [200, 429, 500, 503]) {
         const headers = { "server-limit": value };
         assert.equal(decodeServerNotice(status, headers).limitPerS, limitPerS);
@@ -89,7 +89,7 @@
     });
   }
 
-  it("should be read from any bytes, and never ask for less than nothing", () => {
+  it("should accept any header values and never return a negative backoff or limit", () => {
     const texts = fc.oneof(
       fc.string(),
       fc.double().map(String),
--- a/src/platform/server_wire.ts
+++ b/src/platform/server_wire.ts
@@ -9,7 +9,7 @@
 } from "../core/ids.ts";
 import { fail, ok, type Result } from "../core/result.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import { type DecodeError, decodeErrorOf } from "./decode_error.ts";
+import { type DecodeError, toDecodeError } from "./decode_error.ts";
 
 /** Kind of the entries of backend servers in the store. */
 export const SERVER_KIND = "servers";
@@ -46,7 +46,7 @@
 ): Result<ServerRecord, DecodeError> {
   const parsed = serverSchema.safeParse(spec);
   if (!parsed.success) {
-    return fail(decodeErrorOf(`server ${name}`, parsed.error));
+    return fail(toDecodeError(`server ${name}`, parsed.error));
   }
   const wire = parsed.data;
   return ok({
--- a/src/platform/vm_settings_wire.ts
+++ b/src/platform/vm_settings_wire.ts
@@ -1,88 +1,88 @@
-/** Decodes the settings file that the platform lays on each VM. */
+/** Decodes the settings file that the platform places on each VM. */
 
 import { parse } from "yaml";
 import * as z from "zod";
 import type { DataCentreId, EntryId } from "../core/ids.ts";
 import { fail, ok, type Result } from "../core/result.ts";
-import { type DecodeError, decodeErrorOf } from "./decode_error.ts";
+import { type DecodeError, toDecodeError } from "./decode_error.ts";
 
 const MS_PER_SECOND = 1_000;
 
 /** Environment variable with the path of the settings file. */
-export const SETTINGS_VARIABLE = "FIELDRACK_SETTINGS";
+export const SETTINGS_ENV_VAR = "FIELDRACK_SETTINGS";
 
-/** Port of the metrics; the deploy file names it as well, and settings do not. */
+/** The settings file has no metrics port; the deploy file repeats this value. */
 const METRICS_PORT = 9_464;
 
-/** What one process is told about its VM and the deployment. */
+/** Settings of one process: its VM and the deployment. */
 export interface VmSettings {
   readonly vm: EntryId;
   readonly dataCentre: DataCentreId;
   readonly region: string;
   /** Region of each data centre. */
   readonly regions: ReadonlyMap<DataCentreId, string>;
-  /** IP number of the VM. */
+  /** IP address of the VM. */
   readonly ip: string;
   readonly listen: {
-    /** For callers' requests. */
+    /** Address for callers' requests. */
     readonly callers: string | undefined;
-    /** For the platform's readiness checks. */
+    /** Address for the platform's readiness checks. */
     readonly readiness: string | undefined;
-    /** For callers who ask which addresses to use. */
+    /** Address on which callers request the list of entry addresses. */
     readonly addresses: string | undefined;
-    /** For other entry VMs. */
+    /** Address for other entry VMs. */
     readonly peers: string | undefined;
   };
-  /** Peer addresses of some entry VMs; may be stale. */
+  /** Peer addresses of some entry VMs, used to join the fleet; may be stale. */
   readonly seeds: readonly string[];
-  /** First and last port that is free for the system's own use. */
+  /** First and last port of the range reserved for internal use. */
   readonly internalPorts: { readonly first: number; readonly last: number };
-  /** Where the metrics are served; undefined where nobody asks for them. */
+  /** Port on which metrics are served; undefined disables them. */
   readonly metricsPort: number | undefined;
   readonly memoryMb: number;
-  /** Processor time that the VM may use, as a share of one core of usual speed. */
+  /** CPU quota of the VM, in cores of standard speed. */
   readonly cores: number;
   readonly store: {
     /** `IP:port`. */
     readonly address: string;
-    /** Calls that all entry VMs together may make. */
+    /** Rate limits for the calls of all entry VMs together. */
     readonly readsPerSecond: number;
     readonly writesPerSecond: number;
   };
   readonly bounds: DeploymentBounds;
 }
 
-/** Time limits and shares that the operators of the deployment hold us to. */
+/** Time limits and traffic shares that the operators of the deployment require. */
 export interface DeploymentBounds {
-  /** From the acknowledgement of a configuration until it is in force. */
+  /** From acknowledging a configuration until it is in force. */
   readonly configurationApplyMs: number;
-  /** From the removal of a key until no request with it runs. */
+  /** From removing an API key until no request with it is running. */
   readonly keyRemovalMs: number;
-  /** Whether requests with keys are refused when the removal of keys may have been missed. */
+  /** Whether requests with API keys are refused while a key removal may have been missed. */
   readonly refuseUnconfirmedKeys: boolean;
-  /** From a server's leaving until it gets no new work. */
+  /** From the start of a server's draining until it receives no new work. */
   readonly drainMs: number;
   /** From SIGTERM until SIGKILL. */
   readonly stopGraceMs: number;
-  /** Repeats at servers as a share of requests, over `retryWindowMs`. */
+  /** Retries at servers as a share of requests, over `retryWindowMs`. */
   readonly retryRatio: number;
   readonly retryWindowMs: number;
-  /** Repeats that the whole fleet may make beyond the share in one window. */
+  /** Retries that the whole fleet may make in one window beyond that share. */
   readonly retryAllowance: number;
-  /** Share of a service's requests that a new release may get while it is on trial. */
-  readonly trialShare: number;
-  /** Requests beyond that share. */
-  readonly trialAllowance: number;
-  /** From the evidence against a release until it gets no more requests. */
+  /** Share of a service's requests that a new release may receive while it is a canary. */
+  readonly canaryShare: number;
+  /** Requests that a canary may receive beyond that share. */
+  readonly canaryAllowance: number;
+  /** From detecting that a release is bad until it receives no more requests. */
   readonly rollbackMs: number;
-  /** Pause after which requests no longer belong to the same session. */
+  /** Idle time after which a session ends and the next request starts a new one. */
   readonly sessionGapMs: number;
   /**
-   * From the order to evacuate a data centre until its servers get no new work; undefined
-   * where no data centre is ever evacuated.
+   * From the order to evacuate a data centre until its servers receive no new work; undefined
+   * if data centres are never evacuated.
    */
   readonly evacuationMs: number | undefined;
-  /** Longest time for which callers keep a list of addresses. */
+  /** Maximum time for which callers may cache a list of addresses. */
   readonly maxAddressTtlMs: number;
 }
 
@@ -90,8 +90,8 @@
   z.number().min(0).default(fallback).transform((s) => s * MS_PER_SECOND);
 const millis = (fallback: number) => z.number().min(0).default(fallback);
 
-// Defaults hold where a deployment leaves a bound out; they are the smallest that the
-// users' pages show, so that a deployment without the bound is served as strictly.
+// Defaults for bounds that a deployment does not set. They are the smallest values in the users'
+// documentation, so that such a deployment gets the strictest bounds.
 const boundsSchema = z.object({
   ConfigApplyMs: millis(2_000),
   RevokeMs: millis(5_000),
@@ -125,7 +125,7 @@
   SeedNodes: z.array(z.string()).nullish().transform((seeds) => seeds ?? []),
   Limits: z.object({
     MemoryMb: z.number().min(1).default(256),
-    // Share of a core, and how many times as fast as usual that core runs.
+    // Share of one core, and the speed of that core relative to the standard.
     CpuQuota: z.number().min(0).default(1),
     CpuCores: z.number().min(0).default(1),
   }).prefault({}),
@@ -137,7 +137,7 @@
   }),
 });
 
-/** Decodes the text of a settings file; fields it does not know are passed over. */
+/** Decodes the text of a settings file; unknown fields are ignored. */
 export function decodeVmSettings(
   text: string,
 ): Result<VmSettings, DecodeError> {
@@ -149,7 +149,7 @@
     return fail({ tag: "malformed", what: "settings", field: "", reason });
   }
   const parsed = settingsSchema.safeParse(raw);
-  if (!parsed.success) return fail(decodeErrorOf("settings", parsed.error));
+  if (!parsed.success) return fail(toDecodeError("settings", parsed.error));
   return ok(toSettings(parsed.data));
 }
 
@@ -198,8 +198,8 @@
     retryRatio: wire.RetryBudgetRatio,
     retryWindowMs: wire.BudgetWindowS,
     retryAllowance: wire.RetryAllowance,
-    trialShare: wire.ExposureShare,
-    trialAllowance: wire.ExposureAllowance,
+    canaryShare: wire.ExposureShare,
+    canaryAllowance: wire.ExposureAllowance,
     rollbackMs: wire.RollbackMs,
     sessionGapMs: wire.SessionS,
     evacuationMs: wire.EvacuationMs,
--- a/src/protocol/chat_schema.ts
+++ b/src/protocol/chat_schema.ts
@@ -26,7 +26,7 @@
 }).nullish();
 
 /** A whole answer of a model server. */
-export const chatAnswerSchema = z.looseObject({
+export const chatResponseSchema = z.looseObject({
   id: z.string(),
   choices: z.array(z.looseObject({
     message: z.looseObject({ content: z.string().nullish() }),
@@ -40,7 +40,7 @@
 });
 
 /** A whole answer of a model server. */
-export type ChatAnswer = z.infer<typeof chatAnswerSchema>;
+export type ChatResponse = z.infer<typeof chatResponseSchema>;
 
 /** One event of a streamed answer. */
 export const chatChunkSchema = z.looseObject({
--- a/src/protocol/digest_schema.ts
+++ b/src/protocol/digest_schema.ts
@@ -15,12 +15,12 @@
 import type { Evidence } from "../core/rollout/evidence.ts";
 import type { ServerReport } from "../core/servers/server_report.ts";
 import { memberSchema } from "./peer_schema.ts";
-import { toldStoreSchema } from "./store_schema.ts";
+import { storeUpdateSchema } from "./store_schema.ts";
 
 /** Leaving servers in one message, at most; far more than leave at once. */
-export const MOST_LEAVING = 1_000;
+export const MAX_DIGEST_LEAVING_SERVERS = 1_000;
 /** Limits of servers in one message, at most; far more than there are servers of one service. */
-export const MOST_LIMITS = 1_000;
+export const MAX_DIGEST_RATE_LIMITS = 1_000;
 
 const id = <T extends string>() => z.string().transform((text) => text as T);
 
@@ -104,9 +104,9 @@
   crashes: crashesSchema,
   /** Lives of servers that have said that they leave, to whichever VM. */
   leaving: z.array(z.object({ instance: id<InstanceId>(), bornMs: z.number() }))
-    .max(MOST_LEAVING),
+    .max(MAX_DIGEST_LEAVING_SERVERS),
   /** What servers have last said of how much they take from all VMs. */
-  limits: z.array(limitSchema).max(MOST_LIMITS),
+  limits: z.array(limitSchema).max(MAX_DIGEST_RATE_LIMITS),
   /** Releases that were found bad. */
   braked: z.array(z.object({
     service: id<ServiceId>(),
@@ -115,21 +115,21 @@
 });
 
 /** What one VM asks of another. */
-export const digestQuestionSchema = z.object({
+export const digestRequestSchema = z.object({
   digest: digestSchema,
   /** Up to which revision the asker knows each kind of the store. */
-  known: toldStoreSchema.shape.known,
+  known: storeUpdateSchema.shape.known,
 });
 
 /** What the other VM answers. */
-export const digestAnswerSchema = z.object({
+export const digestResponseSchema = z.object({
   digest: digestSchema,
-  store: toldStoreSchema,
+  store: storeUpdateSchema,
 });
 
 /** What one VM tells. */
 export type VmDigest = z.infer<typeof digestSchema>;
 /** What one VM asks of another. */
-export type DigestQuestion = z.infer<typeof digestQuestionSchema>;
+export type DigestRequest = z.infer<typeof digestRequestSchema>;
 /** What the other VM answers. */
-export type DigestAnswer = z.infer<typeof digestAnswerSchema>;
+export type DigestResponse = z.infer<typeof digestResponseSchema>;
--- a/src/protocol/peer_schema.ts
+++ b/src/protocol/peer_schema.ts
@@ -35,7 +35,7 @@
 });
 
 /** Answer to a probe. */
-export const probeAnswerSchema = z.object({
+export const probeResponseSchema = z.object({
   self: memberSchema,
   /** Age of the last confirmation that no later configuration is in force. */
   confirmed_age_ms: z.number(),
@@ -53,13 +53,13 @@
 });
 
 /** Answer: the changes where they can be told, else the whole head. */
-export const headAnswerSchema = z.union([
+export const headResponseSchema = z.union([
   z.object({ delta: headDeltaSchema }),
   z.object({ head: headSchema }),
 ]);
 
 /** Answer to a question for the head. */
-export type HeadAnswer = z.infer<typeof headAnswerSchema>;
+export type HeadResponse = z.infer<typeof headResponseSchema>;
 
 /** Asks for the condensed list of VMs, unless it is still the known one. */
 export const vmViewRequestSchema = z.object({ known: z.string() });
@@ -78,14 +78,14 @@
 export type VmView = z.infer<typeof vmViewSchema>;
 
 /** Answer of a relay: its view unless known, and how sure it is of its revision. */
-export const vmViewAnswerSchema = z.object({
+export const vmViewResponseSchema = z.object({
   view: vmViewSchema.nullable(),
   revision: z.number().transform((n) => n as Revision),
   confirmed_age_ms: z.number(),
 });
 
 /** Answer of a relay. */
-export type VmViewAnswer = z.infer<typeof vmViewAnswerSchema>;
+export type VmViewResponse = z.infer<typeof vmViewResponseSchema>;
 
 /** Asks for an object of the configuration. */
 export const objectRequestSchema = z.object({ sha256: z.string() });
--- a/src/protocol/place_schema.ts
+++ b/src/protocol/permit_schema.ts
@@ -4,18 +4,18 @@
 import type { InstanceId } from "../core/ids.ts";
 
 /** Names the life of a server at which a place is wanted. */
-export const placeQuestionSchema = z.object({
+export const permitRequestSchema = z.object({
   instance: z.string().transform((text) => text as InstanceId),
   bornMs: z.number().optional(),
 });
 
 /** Whether the place is lent, and if not, when it is worth asking again. */
-export const placeAnswerSchema = z.object({
+export const permitResponseSchema = z.object({
   granted: z.boolean(),
   opensInMs: z.number().min(0),
 });
 
 /** Names the life of a server at which a place is wanted. */
-export type PlaceQuestion = z.infer<typeof placeQuestionSchema>;
+export type PermitRequest = z.infer<typeof permitRequestSchema>;
 /** Whether the place is lent. */
-export type PlaceAnswer = z.infer<typeof placeAnswerSchema>;
+export type PermitResponse = z.infer<typeof permitResponseSchema>;
--- a/src/protocol/store_schema.ts
+++ b/src/protocol/store_schema.ts
@@ -6,7 +6,7 @@
 const LONGEST_AGE_MS = 1_000_000_000;
 
 /** An age as VMs tell it, in milliseconds: rounded up, so that nothing seems newer than it is. */
-export function toldAgeMs(ageMs: number): number {
+export function advertisedAgeMs(ageMs: number): number {
   return Math.min(LONGEST_AGE_MS, Math.ceil(ageMs));
 }
 
@@ -29,7 +29,7 @@
 });
 
 /** Schema of what a VM tells of the store. */
-export const toldStoreSchema = z.object({
+export const storeUpdateSchema = z.object({
   /** Whether the VM reads the store for others, and the store answers it. */
   reads: z.boolean(),
   /** Whether the store did not answer the VM's last call. */
@@ -45,16 +45,16 @@
 });
 
 /** What a relay asks a VM that reads the store. */
-export const feedQuestionSchema = z.object({
+export const feedRequestSchema = z.object({
   /** Up to which revision the asker knows each kind. */
-  known: toldStoreSchema.shape.known,
+  known: storeUpdateSchema.shape.known,
   /** How long to wait for news, in milliseconds. */
   waitMs: z.number().min(0).max(10_000),
 });
 
 /** What the VM that reads the store answers, once there is news or the wait is over. */
-export const feedAnswerSchema = z.object({
-  store: toldStoreSchema,
+export const feedResponseSchema = z.object({
+  store: storeUpdateSchema,
   /** Version of the configuration in force; 0 before the first. */
   configurationVersion: z.number(),
   /** Time since a read of the store showed that it is the newest. */
@@ -64,10 +64,10 @@
 });
 
 /** What a relay asks a VM that reads the store. */
-export type FeedQuestion = z.infer<typeof feedQuestionSchema>;
+export type FeedRequest = z.infer<typeof feedRequestSchema>;
 /** What the VM that reads the store answers. */
-export type FeedAnswer = z.infer<typeof feedAnswerSchema>;
+export type FeedResponse = z.infer<typeof feedResponseSchema>;
 /** What a VM tells of the store. */
-export type ToldStore = z.infer<typeof toldStoreSchema>;
+export type StoreUpdate = z.infer<typeof storeUpdateSchema>;
 /** Changes of one kind. */
-export type ToldChanges = z.infer<typeof changesSchema>;
+export type KindUpdate = z.infer<typeof changesSchema>;
--- a/src/store/store_sync.ts
+++ b/src/store/store_sync.ts
@@ -1,7 +1,7 @@
 /** What VMs tell each other of the store, so that few of them have to ask it. */
 
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
-import type { ToldChanges, ToldStore } from "../protocol/store_schema.ts";
+import type { KindUpdate, StoreUpdate } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { EvacuationFollower } from "./evacuation_follower.ts";
 import type { KindFollower } from "./kind_follower.ts";
@@ -93,14 +93,14 @@
   }
 
   /** Up to which revision each kind is known here. */
-  known(): ToldStore["known"] {
+  known(): StoreUpdate["known"] {
     return this.#followers.flatMap(({ kind, revision }) =>
       revision === undefined ? [] : [{ kind, revision }]
     );
   }
 
   /** What a VM should hear that knows so much; `undefined` tells no changes. */
-  tell(known: ToldStore["known"] | undefined): ToldStore {
+  tell(known: StoreUpdate["known"] | undefined): StoreUpdate {
     const { storeHealth, clock } = this.#deps;
     const { recoveredAtMs } = storeHealth.health;
     const nowMs = clock.monotonicMs();
@@ -117,7 +117,7 @@
   }
 
   /** Takes in what a VM has told; returns whether it is in touch with the store. */
-  hear({ inTouch, backAgeMs, changes }: ToldStore): boolean {
+  hear({ inTouch, backAgeMs, changes }: StoreUpdate): boolean {
     // Why entries are missing is learnt before which are.
     if (inTouch && !asksStore(this.#access)) {
       this.#deps.storeHealth.heard(backAgeMs);
@@ -128,7 +128,7 @@
     return inTouch;
   }
 
-  #changesSince(known: ToldStore["known"]): ToldChanges[] {
+  #changesSince(known: StoreUpdate["known"]): KindUpdate[] {
     return this.#followers.flatMap((follower) => {
       const at = known.find(({ kind }) => kind === follower.kind);
       const changes = follower.changesSince(at?.revision);
