--- a/src/fleet/digest_router.ts
+++ b/src/fleet/digest_router.ts
@@ -2,31 +2,31 @@
 
 import { initTRPC } from "@trpc/server";
 import {
-  type DigestAnswer,
-  type DigestQuestion,
-  digestQuestionSchema,
+  type DigestRequest,
+  digestRequestSchema,
+  type DigestResponse,
 } from "../protocol/digest_schema.ts";
 import {
-  type FeedAnswer,
-  feedQuestionSchema,
+  feedRequestSchema,
+  type FeedResponse,
 } from "../protocol/store_schema.ts";
 import {
-  type PlaceAnswer,
-  type PlaceQuestion,
-  placeQuestionSchema,
-} from "../protocol/place_schema.ts";
+  type PermitRequest,
+  permitRequestSchema,
+  type PermitResponse,
+} from "../protocol/permit_schema.ts";
 import type { StoreFeedHandler } from "./store_feed.ts";
 
 const trpc = initTRPC.create();
 
 /** Merges the digest of another VM and answers with this VM's digest. */
 export interface DigestHandler {
-  exchange(question: DigestQuestion): DigestAnswer;
+  exchange(question: DigestRequest): DigestResponse;
 }
 
 /** Grants permits for servers with a rate limit that all VMs share. */
 export interface PermitHandler {
-  grant(question: PlaceQuestion): PlaceAnswer;
+  grant(question: PermitRequest): PermitResponse;
 }
 
 /** Handlers of the procedures. */
@@ -41,14 +41,14 @@
   { digestService, storeFeed, permitGranter }: FleetHandlers,
 ) {
   return trpc.router({
-    exchange: trpc.procedure.input(digestQuestionSchema).mutation(
-      ({ input }): DigestAnswer => digestService.exchange(input),
+    exchange: trpc.procedure.input(digestRequestSchema).mutation(
+      ({ input }): DigestResponse => digestService.exchange(input),
     ),
-    lend: trpc.procedure.input(placeQuestionSchema).mutation(
-      ({ input }): PlaceAnswer => permitGranter.grant(input),
+    lend: trpc.procedure.input(permitRequestSchema).mutation(
+      ({ input }): PermitResponse => permitGranter.grant(input),
     ),
-    feed: trpc.procedure.input(feedQuestionSchema).mutation(
-      ({ input }): Promise<FeedAnswer> => storeFeed.next(input),
+    feed: trpc.procedure.input(feedRequestSchema).mutation(
+      ({ input }): Promise<FeedResponse> => storeFeed.next(input),
     ),
   });
 }
--- a/src/fleet/digest_service.ts
+++ b/src/fleet/digest_service.ts
@@ -21,12 +21,12 @@
 } from "../core/servers/server_report.ts";
 import type { UnitHash } from "../core/routing/version_choice.ts";
 import {
-  type DigestAnswer,
-  type DigestQuestion,
-  MOST_LEAVING,
+  type DigestRequest,
+  type DigestResponse,
+  MAX_DIGEST_LEAVING_SERVERS,
   type VmDigest,
 } from "../protocol/digest_schema.ts";
-import { toldAgeMs } from "../protocol/store_schema.ts";
+import { advertisedAgeMs } from "../protocol/store_schema.ts";
 import { BurstLog } from "../runtime/burst_log.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
@@ -89,7 +89,7 @@
   }
 
   /** Builds the request that this VM sends to other VMs. */
-  createRequest(): DigestQuestion {
+  createRequest(): DigestRequest {
     return {
       digest: this.#buildDigest(this.#groupContent()),
       known: this.#deps.storeSync.known(),
@@ -97,7 +97,7 @@
   }
 
   /** Merges the digest of another VM and returns the answer for that VM. */
-  exchange({ digest: received, known }: DigestQuestion): DigestAnswer {
+  exchange({ digest: received, known }: DigestRequest): DigestResponse {
     const { memberTable, storeSync, relayRole, crashGossip } = this.#deps;
     const { id } = received.self;
     const isNew = memberTable.get(id) === undefined || !this.#received.has(id);
@@ -122,7 +122,7 @@
    * update the time of the last confirmation: the transit time of an unsolicited digest is
    * unknown. Returns whether the other VM is a relay that is connected to the store.
    */
-  receiveAnswer({ digest, store }: DigestAnswer, askedMs: number): boolean {
+  receiveAnswer({ digest, store }: DigestResponse, askedMs: number): boolean {
     this.#merge(digest);
     const inTouch = this.#deps.storeSync.hear(store);
     this.#deps.routingFollower.receiveConfirmation({
@@ -163,10 +163,12 @@
       storeLost: storeSync.storeLost,
       news,
       configurationVersion: confirmation.version,
-      confirmedAgeMs: toldAgeMs(confirmation.ageMs),
+      confirmedAgeMs: advertisedAgeMs(confirmation.ageMs),
       crashes: this.#deps.crashGossip.recentCrashes(),
       limits: this.#deps.limitGossip.limitsToAdvertise(),
-      leaving: this.#deps.serverFollower.leavingLives().slice(-MOST_LEAVING),
+      leaving: this.#deps.serverFollower.leavingLives().slice(
+        -MAX_DIGEST_LEAVING_SERVERS,
+      ),
       braked: [...releaseGate.haltedReleases()],
       ...content,
     };
--- a/src/fleet/permit_borrower.ts
+++ b/src/fleet/permit_borrower.ts
@@ -7,7 +7,7 @@
   incarnationIdOf,
   type ServerRecord,
 } from "../core/servers/server_record.ts";
-import { placeAnswerSchema } from "../protocol/place_schema.ts";
+import { permitResponseSchema } from "../protocol/permit_schema.ts";
 import type { VmClients } from "./vm_clients.ts";
 
 /** Timeout of one permit request; the waiting client request has no alternative meanwhile. */
@@ -81,7 +81,7 @@
     const answer = await vmClients.call(peers, {
       timeoutMs: TIMEOUT_MS,
       invoke: async (client, signal) =>
-        placeAnswerSchema.parse(
+        permitResponseSchema.parse(
           await client.lend.mutate({ instance, bornMs }, { signal }),
         ),
     });
--- a/src/fleet/permit_granter.ts
+++ b/src/fleet/permit_granter.ts
@@ -1,7 +1,10 @@
 /** Grants other VMs permits for servers with a rate limit that all VMs share. */
 
 import type { LimitAdmission } from "../core/routing/limit_admission.ts";
-import type { PlaceAnswer, PlaceQuestion } from "../protocol/place_schema.ts";
+import type {
+  PermitRequest,
+  PermitResponse,
+} from "../protocol/permit_schema.ts";
 
 interface Deps {
   readonly limitAdmission: LimitAdmission;
@@ -16,7 +19,7 @@
   }
 
   /** Grants a permit from this VM's share, if one is available. */
-  grant({ instance, bornMs }: PlaceQuestion): PlaceAnswer {
+  grant({ instance, bornMs }: PermitRequest): PermitResponse {
     return this.#deps.limitAdmission.tryGrant({ instance, bornMs });
   }
 }
--- a/src/fleet/store_feed.ts
+++ b/src/fleet/store_feed.ts
@@ -1,9 +1,9 @@
 /** Long polling for changes that this VM reads from the platform's store. */
 
 import {
-  type FeedAnswer,
-  type FeedQuestion,
-  toldAgeMs,
+  advertisedAgeMs,
+  type FeedRequest,
+  type FeedResponse,
 } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
@@ -23,7 +23,7 @@
 
 /** Answers the feed requests of relays on a VM that reads the store. */
 export interface StoreFeedHandler {
-  next(question: FeedQuestion): Promise<FeedAnswer>;
+  next(question: FeedRequest): Promise<FeedResponse>;
 }
 
 /** Holds requests until there are changes, so that changes are delivered without polling delay. */
@@ -38,7 +38,7 @@
   }
 
   /** Answers immediately if the requester is out of date, otherwise on the next change. */
-  async next({ known, waitMs }: FeedQuestion): Promise<FeedAnswer> {
+  async next({ known, waitMs }: FeedRequest): Promise<FeedResponse> {
     const { storeSync, routingFollower, clock } = this.#deps;
     const receivedMs = clock.monotonicMs();
     if (!this.#isNewerThan(known)) await this.#nextChange(waitMs);
@@ -46,7 +46,7 @@
     return {
       store: storeSync.tell(known),
       configurationVersion: version,
-      confirmedAgeMs: toldAgeMs(ageMs),
+      confirmedAgeMs: advertisedAgeMs(ageMs),
       heldMs: Math.floor(clock.monotonicMs() - receivedMs),
     };
   }
@@ -58,7 +58,7 @@
     for (const answer of [...this.#heldRequests]) answer();
   }
 
-  #isNewerThan(known: FeedQuestion["known"]): boolean {
+  #isNewerThan(known: FeedRequest["known"]): boolean {
     return this.#deps.storeSync.known().some(({ kind, revision }) => {
       const theirs = known.find((entry) => entry.kind === kind);
       return theirs === undefined || theirs.revision < revision;
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -2,7 +2,7 @@
 
 import type { EntryId } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
-import { feedAnswerSchema } from "../protocol/store_schema.ts";
+import { feedResponseSchema } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 import type { TrustClock } from "../runtime/trust_clock.ts";
@@ -91,7 +91,7 @@
     const answer = await vmClients.call(peers, {
       timeoutMs: waitMs + RESPONSE_GRACE_MS,
       invoke: async (client, signal) =>
-        feedAnswerSchema.parse(await client.feed.mutate(request, { signal })),
+        feedResponseSchema.parse(await client.feed.mutate(request, { signal })),
     });
     if (!answer.ok) return false;
     const { store, configurationVersion, confirmedAgeMs, heldMs } =
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -3,7 +3,7 @@
 import type { Revision, Sha256 } from "../core/ids.ts";
 import type { Member } from "../core/membership/member.ts";
 import type { Result } from "../core/result.ts";
-import type { HeadAnswer, VmViewAnswer } from "../protocol/peer_schema.ts";
+import type { HeadResponse, VmViewResponse } from "../protocol/peer_schema.ts";
 import type { ProbeAnswer } from "./peer_router.ts";
 
 /** Reason why a call to another entry VM failed. */
@@ -27,11 +27,11 @@
   head(
     address: string,
     known: Revision,
-  ): Promise<Result<HeadAnswer, PeerError>>;
+  ): Promise<Result<HeadResponse, PeerError>>;
   /** Returns the condensed VM list, or no list if `known` is its current version. */
   vmView(
     address: string,
     known: string,
-  ): Promise<Result<VmViewAnswer, PeerError>>;
+  ): Promise<Result<VmViewResponse, PeerError>>;
   object(address: string, sha256: Sha256): Promise<Result<string, PeerError>>;
 }
--- a/src/store/store_sync.ts
+++ b/src/store/store_sync.ts
@@ -1,7 +1,7 @@
 /** Exchanges the contents of the store between VMs, so that only a few of them read it. */
 
 import type { ReleaseGate } from "../core/rollout/release_gate.ts";
-import type { ToldChanges, ToldStore } from "../protocol/store_schema.ts";
+import type { KindUpdate, StoreUpdate } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { EvacuationFollower } from "./evacuation_follower.ts";
 import type { KindFollower } from "./kind_follower.ts";
@@ -94,14 +94,14 @@
   }
 
   /** Revision of each kind up to which its cache is complete. */
-  known(): ToldStore["known"] {
+  known(): StoreUpdate["known"] {
     return this.#followers.flatMap(({ kind, revision }) =>
       revision === undefined ? [] : [{ kind, revision }]
     );
   }
 
   /** State of the store for a VM with these revisions; no changes if they are `undefined`. */
-  tell(known: ToldStore["known"] | undefined): ToldStore {
+  tell(known: StoreUpdate["known"] | undefined): StoreUpdate {
     const { storeHealth, clock } = this.#deps;
     const { recoveredAtMs } = storeHealth.health;
     const nowMs = clock.monotonicMs();
@@ -118,7 +118,7 @@
   }
 
   /** Applies an update from another VM; returns whether that VM is in touch with the store. */
-  hear({ inTouch, backAgeMs, changes }: ToldStore): boolean {
+  hear({ inTouch, backAgeMs, changes }: StoreUpdate): boolean {
     // The recovery time must be recorded before the changes, as it explains missing entries.
     if (inTouch && !readsStore(this.#access)) {
       this.#deps.storeHealth.recordPeerReport(backAgeMs);
@@ -129,7 +129,7 @@
     return inTouch;
   }
 
-  #changesSince(known: ToldStore["known"]): ToldChanges[] {
+  #changesSince(known: StoreUpdate["known"]): KindUpdate[] {
     return this.#followers.flatMap((follower) => {
       const entry = known.find(({ kind }) => kind === follower.kind);
       const changes = follower.changesSince(entry?.revision);
