--- a/src/backends/backend_try_test.ts
+++ b/src/backends/backend_attempt_test.ts
@@ -4,18 +4,18 @@
 import type { ServerNotice } from "../core/servers/server_notice.ts";
 import { SystemClock } from "../runtime/clock.ts";
 import { type RawRequest, RawServer } from "../../tests/fixtures/raw_server.ts";
-import { BackendConnections } from "./backend_connections.ts";
+import { BackendConnectionPool } from "./backend_connection_pool.ts";
 import {
-  BackendTry,
-  type HeadVerdict,
-  type TryOutcome,
-} from "./backend_try.ts";
+  BackendAttempt,
+  type BackendAttemptOutcome,
+  type HeadDecision,
+} from "./backend_attempt.ts";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
 
-const ATTEMPT = "9c41d07be2a35f68";
+const ATTEMPT_ID = "9c41d07be2a35f68";
 
 let server: RawServer | undefined;
-let connections: BackendConnections | undefined;
+let connections: BackendConnectionPool | undefined;
 
 afterEach(async () => {
   connections?.close();
@@ -23,18 +23,18 @@
 });
 
 async function fixture(
-  answer: (req: RawRequest) => void,
-  { verdict = "collect" as HeadVerdict, fresh = false, maySend = true } = {},
+  respond: (req: RawRequest) => void,
+  { decision = "collect" as HeadDecision, fresh = false, maySend = true } = {},
 ) {
-  server = new RawServer(answer);
+  server = new RawServer(respond);
   const address = await server.listen();
-  connections = new BackendConnections({ clock: new SystemClock() });
+  connections = new BackendConnectionPool({ clock: new SystemClock() });
   const record = serverRecord("i-1", { address });
   const streamed: string[] = [];
   const notices: ServerNotice[] = [];
   const pool = connections;
-  const send = (attempt = ATTEMPT): Promise<TryOutcome> =>
-    new BackendTry(pool, {
+  const send = (attempt = ATTEMPT_ID): Promise<BackendAttemptOutcome> =>
+    new BackendAttempt(pool, {
       server: record,
       attempt,
       fresh,
@@ -46,46 +46,46 @@
         body: Buffer.from("body"),
       },
       sink: {
-        judge: () => verdict,
+        decideByHead: () => decision,
         write: (chunk) => streamed.push(chunk.toString()) > 0,
         onNotice: (notice) => notices.push(notice),
         onProgress: () => {},
-        onClosed: () => {},
+        onConnectionLost: () => {},
       },
     }).run();
   return { send, streamed, notices, server, record, connections };
 }
 
 function head(
-  { status = "200 OK", attempt = ATTEMPT, extra = "" } = {},
+  { status = "200 OK", attempt = ATTEMPT_ID, extra = "" } = {},
 ): string {
   return `HTTP/1.1 ${status}\r\nFieldrack-Attempt-Id: ${attempt}\r\n` +
     `Fieldrack-Server-Seal: s\r\n${extra}`;
 }
 
-const WHOLE = `${head({ extra: "Content-Length: 2\r\n" })}\r\nok`;
+const COMPLETE_RESPONSE = `${head({ extra: "Content-Length: 2\r\n" })}\r\nok`;
 
-describe("a try at a backend server", () => {
-  it("should write nothing where the request may no longer go to its server", async () => {
+describe("attempt at a backend server", () => {
+  it("should write nothing if the request may no longer be sent to its server", async () => {
     const { send, server } = await fixture(
-      ({ socket }) => socket.write(WHOLE),
+      ({ socket }) => socket.write(COMPLETE_RESPONSE),
       { maySend: false },
     );
     assert.equal((await send()).tag, "withheld");
     assert.equal(server.requests.length, 0);
   });
 
-  it("should pass on what the server says of itself, whatever its answer is worth", async () => {
-    const rest = "Fieldrack-Not-Processed: 1\r\nRetry-After: 2\r\n" +
+  it("should report the server's status even if its response is unusable", async () => {
+    const statusHeaders = "Fieldrack-Not-Processed: 1\r\nRetry-After: 2\r\n" +
       "Server-Leaving: 1\r\nServer-Limit: 0.5\r\nContent-Length: 5\r\n\r\n";
     const status = "503 Service Unavailable";
-    const cut = ({ socket }: RawRequest) => {
-      socket.end(`${head({ status, extra: rest })}ab`);
+    const truncated = ({ socket }: RawRequest) => {
+      socket.end(`${head({ status, extra: statusHeaders })}ab`);
     };
     const another = ({ socket }: RawRequest) => {
-      socket.write(head({ status, attempt: "another", extra: rest }));
+      socket.write(head({ status, attempt: "another", extra: statusHeaders }));
     };
-    for (const answer of [cut, another]) {
+    for (const answer of [truncated, another]) {
       const { send, notices } = await fixture(answer);
       await send();
       assert.deepEqual(notices, [{
@@ -98,7 +98,7 @@
     }
   });
 
-  it("should not take another server's word for that of the server", async () => {
+  it("should ignore the status of a different server at the address", async () => {
     const { send, notices } = await fixture(({ socket }) => {
       socket.write(
         "HTTP/1.1 421 Misdirected Request\r\nServer-Leaving: 1\r\n" +
@@ -109,8 +109,10 @@
     assert.deepEqual(notices, []);
   });
 
-  it("should return a whole answer and use the connection again", async () => {
-    const { send, server } = await fixture(({ socket }) => socket.write(WHOLE));
+  it("should return a complete response and reuse the connection", async () => {
+    const { send, server } = await fixture(({ socket }) =>
+      socket.write(COMPLETE_RESPONSE)
+    );
     const outcome = await send();
     assert.equal(outcome.tag === "answered" && outcome.body.toString(), "ok");
     await send();
@@ -121,9 +123,9 @@
     assert.match(server.requests[0]?.text ?? "", /^POST \/a\/b\?c=%2e HTTP/);
   });
 
-  it("should open a fresh connection where one is asked for", async () => {
+  it("should open a new connection if requested", async () => {
     const { send, server } = await fixture(
-      ({ socket }) => socket.write(WHOLE),
+      ({ socket }) => socket.write(COMPLETE_RESPONSE),
       { fresh: true },
     );
     await send();
@@ -134,14 +136,14 @@
     ]);
   });
 
-  it("should not take a late answer to another request for its own", async () => {
+  it("should reject a late response to another request", async () => {
     const { send } = await fixture(({ socket }) => {
-      socket.write(WHOLE.replace(ATTEMPT, "0123456789abcdef"));
+      socket.write(COMPLETE_RESPONSE.replace(ATTEMPT_ID, "0123456789abcdef"));
     });
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should not believe another request's refusal", async () => {
+  it("should not treat the rejection of another request as its own", async () => {
     const refusal = head({
       status: "503 Service Unavailable",
       attempt: "0123456789abcdef",
@@ -153,9 +155,9 @@
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should not use a connection again behind which more bytes came", async () => {
+  it("should not reuse a connection with surplus bytes after the response", async () => {
     const { send, server } = await fixture(({ socket }) => {
-      socket.write(WHOLE + WHOLE);
+      socket.write(COMPLETE_RESPONSE + COMPLETE_RESPONSE);
     });
     await send();
     await send();
@@ -165,14 +167,14 @@
     ]);
   });
 
-  it("should tell a body that is cut short from a whole one", async () => {
+  it("should detect a truncated body", async () => {
     const { send } = await fixture(({ socket }) => {
       socket.end(`${head({ extra: "Content-Length: 9\r\n" })}\r\nok`);
     });
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should take an answer without a length as whole when its connection ends", async () => {
+  it("should accept a response without a length when its connection ends", async () => {
     const { send } = await fixture(({ socket }) => {
       socket.end(`${head()}\r\nok`);
     });
@@ -180,7 +182,7 @@
     assert.equal(outcome.tag === "answered" && outcome.body.toString(), "ok");
   });
 
-  it("should not take an answer without a length as whole after a reset", async () => {
+  it("should not accept a response without a length after a reset", async () => {
     const { send } = await fixture(({ socket }) => {
       socket.write(`${head()}\r\nok`, () => {
         setTimeout(() => socket.resetAndDestroy(), 20);
@@ -189,38 +191,38 @@
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should tell a reset that comes together with the last bytes from an end", async () => {
+  it("should detect a reset that arrives together with the last bytes", async () => {
     const { send } = await fixture(({ socket }) => {
-      // Both are on their way before the other side looks, as it runs in this process.
+      // The client runs in this process, so both are sent before it reads either.
       socket.write(`${head()}\r\nok`);
       socket.resetAndDestroy();
     });
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should cut a stream off when its connection is reset", async () => {
+  it("should report a broken stream when its connection is reset", async () => {
     const { send, streamed } = await fixture(({ socket }) => {
       const chunked = head({ extra: "Transfer-Encoding: chunked\r\n" });
       socket.write(`${chunked}\r\n2\r\nok\r\n`, () => {
         setTimeout(() => socket.resetAndDestroy(), 20);
       });
-    }, { verdict: "stream" });
+    }, { decision: "stream" });
     assert.equal((await send()).tag, "stream_broken");
     assert.deepEqual(streamed, ["ok"]);
   });
 
-  it("should say that nothing was sent when no connection comes up", async () => {
+  it("should report that nothing was sent if the connection fails", async () => {
     const { send, server } = await fixture(() => {});
     await server.close();
     assert.equal((await send()).tag, "not_sent");
   });
 
-  it("should say that the request may have run when the connection ends first", async () => {
+  it("should report that the request may have been processed if the connection ends first", async () => {
     const { send } = await fixture(({ socket }) => socket.end());
     assert.equal((await send()).tag, "broken");
   });
 
-  it("should know a server that has not run the request, or is another one", async () => {
+  it("should recognise a rejection before processing and a different server", async () => {
     const shed = head({
       status: "503 Service Unavailable",
       extra: "Fieldrack-Not-Processed: 1\r\nContent-Length: 0\r\n",
@@ -234,7 +236,7 @@
     assert.equal((await moved.send()).tag, "misdirected");
   });
 
-  it("should not take a 503 of a run request for a refusal", async () => {
+  it("should not treat a 503 without the header as a rejection before processing", async () => {
     const failed = head({
       status: "503 Service Unavailable",
       extra: "Content-Length: 0\r\n",
--- a/src/backends/backend_connection.ts
+++ b/src/backends/backend_connection.ts
@@ -1,73 +1,73 @@
-/** One connection to a backend server, which carries one request at a time. */
+/** A connection to a backend server that carries one request at a time. */
 
 import type { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
 import { buildConnector, Client, type Dispatcher } from "undici";
 
-/** Wait for a connection; servers stand a few milliseconds away. */
+/** Round trips to backend servers take a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Idle connections that the server does not time are closed after this long. */
+/** Idle timeout of connections for which the server advertises none. */
 const DEFAULT_KEEP_ALIVE_MS = 4_000;
-/** Longest that an idle connection is kept, whatever the server says. */
+/** Upper bound of the idle timeout that a server may advertise. */
 const MAX_KEEP_ALIVE_MS = 30_000;
 
-/** A request as it goes to a backend server. */
+/** A request as it is sent to a backend server. */
 export interface BackendRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
 }
 
-/** Headers of an answer, by lower-case name. */
-export type AnswerHeaders = Readonly<
+/** Headers of a response, by lower-case name. */
+export type ResponseHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** Why an exchange ended without a whole answer. */
+/** Why an exchange ended without a complete response. */
 export type ExchangeFailure =
   /** No byte of the request was written. */
   | { readonly tag: "not_sent"; readonly reason: string }
-  /** The same, as the listener did not want it sent any more. */
+  /** No byte of the request was written, because the listener withheld it. */
   | { readonly tag: "withheld" }
-  /** The server may have run the request. */
+  /** The connection failed after the server may have received the request. */
   | { readonly tag: "broken"; readonly reason: string };
 
-/** What happens to a request that was sent. */
+/** Receives the events of an exchange. */
 export interface ExchangeListener {
-  /** Bytes of the request are about to be written; returns whether they still may be. */
+  /** Called before the first byte is written; returning false withholds the request. */
   onSending(): boolean;
-  onHead(status: number, headers: AnswerHeaders): void;
+  onHead(status: number, headers: ResponseHeaders): void;
   onData(chunk: Buffer): void;
-  /** The whole answer has arrived. */
+  /** Called once the complete response was received. */
   onEnd(): void;
-  /** Comes once, instead of `onEnd`, unless the exchange was given up. */
+  /** Called once instead of `onEnd`, unless the exchange was aborted. */
   onFailure(failure: ExchangeFailure): void;
 }
 
-/** Sent to find out how the other side has ended; servers pass over empty lines. */
+/** Written to detect a reset connection; HTTP servers ignore empty lines before a request. */
 const EMPTY_LINE = "\r\n";
 const RESET_CODES: readonly unknown[] = ["EPIPE", "ECONNRESET"];
 
-// Half-open, so that a connection can still be asked how it has ended.
+// Half-open, so that it is possible to write after the server has ended the connection.
 const connect = buildConnector({
   timeout: CONNECT_TIMEOUT_MS,
   allowHalfOpen: true,
 });
 
-/** One connection. */
+/** Sends one request at a time over an undici client with a single connection. */
 export class BackendConnection {
   readonly #client: Client;
   #controller: Dispatcher.DispatchController | undefined;
   #reusable = true;
   #busy = false;
   #socket: Socket | undefined;
-  #broken = false;
-  #ended = false;
+  #socketFailed = false;
+  #endReceived = false;
   #idleSinceMs = 0;
 
-  /** `onLost` is called when an idle connection ends. */
+  /** `onLost` is called when the connection ends while idle. */
   constructor(
     address: string,
     onLost: (connection: BackendConnection) => void,
@@ -81,7 +81,7 @@
         }),
       keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
       keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
-      // The deadline of the request bounds these waits.
+      // The deadline of the request limits these waits.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -96,7 +96,7 @@
     return this.#reusable && !this.#busy;
   }
 
-  /** When the last answer ended, by the monotonic clock. */
+  /** Monotonic time at which the connection became idle. */
   get idleSinceMs(): number {
     return this.#idleSinceMs;
   }
@@ -111,83 +111,86 @@
           path: req.path,
           headers: req.headers,
           body: req.body ?? null,
-          // A request whose connection ends is for the caller of this class to repeat.
+          // Retries are left to the caller of this class, so undici must not repeat a request.
           idempotent: false,
         },
         new ExchangeHandler(listener, {
           onController: (controller) => this.#controller = controller,
-          onDone: (whole) => this.#done(whole),
-          askEnd: (answer) => this.#askEnd(answer),
+          onFinished: (complete) => this.#finish(complete),
+          detectReset: (report) => this.#detectReset(report),
         }),
       );
     } catch (err) {
-      this.#done(false);
+      this.#finish(false);
       const reason = (err as Error).message;
       listener.onFailure({ tag: "not_sent", reason });
     }
   }
 
-  /** Stops or goes on reading the answer. */
+  /** Pauses or resumes reading the response. */
   setPaused(paused: boolean): void {
     if (paused) this.#controller?.pause();
     else this.#controller?.resume();
   }
 
-  /** Notes when the connection became idle. */
+  /** Records when the connection became idle. */
   markIdle(nowMs: number): void {
     this.#idleSinceMs = nowMs;
   }
 
-  /** Keeps the connection from being used again. */
+  /** Prevents reuse of the connection. */
   retire(): void {
     this.#reusable = false;
   }
 
-  /** Closes the connection at once; an exchange on it is given up. */
+  /** Closes the connection immediately; an exchange on it is aborted. */
   destroy(): void {
     this.#reusable = false;
-    // A plain close goes on delivering what lies in the buffers here, as links heal.
+    // After a plain close, the kernel would still deliver buffered bytes of the request, for
+    // example once a network partition has ended. A reset discards them.
     if (this.#busy) this.#socket?.resetAndDestroy();
     void this.#client.destroy();
   }
 
-  /** Listens before undici does, which takes a reset for the end of some answers. */
+  /** Listens before undici does: it treats a reset as the regular end of some responses. */
   #watch(socket: Socket): void {
     this.#socket = socket;
-    socket.once("error", () => this.#broken = true);
-    socket.once("end", () => this.#ended = true);
+    socket.once("error", () => this.#socketFailed = true);
+    socket.once("end", () => this.#endReceived = true);
   }
 
   /**
-   * Tells whether the connection has been reset. A reset that arrives together with the
-   * last bytes is reported as a plain end; only writing shows which it was.
+   * Detects whether the connection was reset. A reset that arrives together with the last bytes
+   * is reported as a regular end; only a write, which fails after a reset, tells them apart.
    */
-  #askEnd(answer: (reset: boolean) => void): void {
-    if (this.#broken || !this.#ended || this.#socket === undefined) {
-      answer(this.#broken);
+  #detectReset(report: (reset: boolean) => void): void {
+    if (
+      this.#socketFailed || !this.#endReceived || this.#socket === undefined
+    ) {
+      report(this.#socketFailed);
       return;
     }
     this.#socket.write(EMPTY_LINE, (err) => {
       const { code } = (err ?? {}) as NodeJS.ErrnoException;
-      answer(RESET_CODES.includes(code));
+      report(RESET_CODES.includes(code));
     });
   }
 
-  #done(whole: boolean): void {
+  #finish(complete: boolean): void {
     this.#busy = false;
-    if (!whole) this.#reusable = false;
+    if (!complete) this.#reusable = false;
   }
 }
 
-/** What a handler tells its connection, and asks of it. */
+/** Callbacks of a handler to its connection. */
 interface HandlerHooks {
   readonly onController: (controller: Dispatcher.DispatchController) => void;
-  readonly onDone: (whole: boolean) => void;
-  /** Finds out whether the connection has been reset. */
-  readonly askEnd: (answer: (reset: boolean) => void) => void;
+  readonly onFinished: (complete: boolean) => void;
+  /** Reports whether the connection was reset. */
+  readonly detectReset: (report: (reset: boolean) => void) => void;
 }
 
-/** Turns undici's calls into those of a listener, and ends them after a failure. */
+/** Translates undici's callbacks for a listener; calls nothing more after the end or a failure. */
 class ExchangeHandler implements Dispatcher.DispatchHandler {
   readonly #listener: ExchangeListener;
   readonly #hooks: HandlerHooks;
@@ -202,22 +205,24 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     if (this.#sent) {
-      controller.abort(new Error("Request would be sent a second time"));
+      controller.abort(
+        new Error("undici attempted to send the request a second time"),
+      );
       return;
     }
     this.#hooks.onController(controller);
-    // Before the answer: an abort reports its error at once.
+    // Set before the abort below, which calls `onResponseError` synchronously.
     this.#sent = this.#listener.onSending();
     this.#withheld = !this.#sent;
     if (this.#withheld) {
-      controller.abort(new Error("Request may not be sent now"));
+      controller.abort(new Error("Request was withheld by its sender"));
     }
   }
 
   onResponseStart(
     _controller: Dispatcher.DispatchController,
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
   ): void {
     if (status < 200 || this.#ended) return;
     this.#listener.onHead(status, headers);
@@ -233,8 +238,8 @@
   onResponseEnd(): void {
     if (this.#ended) return;
     this.#ended = true;
-    this.#hooks.askEnd((reset) => {
-      this.#hooks.onDone(!reset);
+    this.#hooks.detectReset((reset) => {
+      this.#hooks.onFinished(!reset);
       if (reset) this.#listener.onFailure({ tag: "broken", reason: "reset" });
       else this.#listener.onEnd();
     });
@@ -246,7 +251,7 @@
   ): void {
     if (this.#ended) return;
     this.#ended = true;
-    this.#hooks.onDone(false);
+    this.#hooks.onFinished(false);
     if (this.#withheld) {
       this.#listener.onFailure({ tag: "withheld" });
       return;
--- a/src/backends/backend_error.ts
+++ b/src/backends/backend_error.ts
@@ -27,7 +27,7 @@
 ]);
 
 /** Turns what the HTTP client threw into a typed error. */
-export function backendErrorOf(err: unknown): BackendError {
+export function toBackendError(err: unknown): BackendError {
   const { name, code, message } = err as NodeJS.ErrnoException;
   if (name === "AbortError") return { tag: "aborted", sent: true };
   const reason = code ?? message;
--- a/src/backends/chat_stream_reader.ts
+++ b/src/backends/chat_stream_reader.ts
@@ -4,7 +4,7 @@
 import type { Dispatcher } from "undici";
 import type { RequestId } from "../core/ids.ts";
 import { chatChunkSchema, END_OF_STREAM } from "../protocol/chat_schema.ts";
-import { backendErrorOf } from "./backend_error.ts";
+import { toBackendError } from "./backend_error.ts";
 import type { ChatStream, StreamEvent } from "./model_servers.ts";
 
 /** Body of a response, as undici gives it. */
@@ -37,7 +37,7 @@
     }
     yield [cut("answer has no end")];
   } catch (err) {
-    yield [{ tag: "cut", error: backendErrorOf(err) }];
+    yield [{ tag: "cut", error: toBackendError(err) }];
   } finally {
     release(body, ended);
   }
--- a/src/backends/event_splitter.ts
+++ b/src/backends/event_splitter.ts
@@ -6,7 +6,7 @@
 const ID_LINE = /(?:^|\n)id: ?([^\r\n]*)/g;
 
 /** Whole events of a stream. */
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   /** Id of the last event that has one. */
   readonly lastId: string | undefined;
@@ -22,7 +22,7 @@
   }
 
   /** Takes in bytes; returns the events that are whole now, if any. */
-  push(chunk: Buffer): WholeEvents | undefined {
+  push(chunk: Buffer): CompleteEvents | undefined {
     const bytes = this.#pending.length === 0
       ? chunk
       : Buffer.concat([this.#pending, chunk]);
--- a/src/backends/http_model_servers.ts
+++ b/src/backends/http_model_servers.ts
@@ -7,14 +7,14 @@
 import { decodeServerNotice } from "../platform/server_notice_wire.ts";
 import { chatAnswerSchema, loadReportSchema } from "../protocol/chat_schema.ts";
 import { withDeadline } from "../runtime/with_deadline.ts";
-import { type BackendError, backendErrorOf } from "./backend_error.ts";
+import { type BackendError, toBackendError } from "./backend_error.ts";
 import { readChatStream } from "./chat_stream_reader.ts";
 import type {
+  ChatResponse,
   ChatStream,
   ModelCall,
   ModelServers,
   ReportedLoad,
-  WholeAnswer,
 } from "./model_servers.ts";
 
 const CONTROL_TIMEOUT_MS = 1_000;
@@ -29,14 +29,14 @@
     this.#dispatcher = dispatcher;
   }
 
-  async chat(call: ModelCall): Promise<Result<WholeAnswer, BackendError>> {
+  async chat(call: ModelCall): Promise<Result<ChatResponse, BackendError>> {
     try {
       const res = await this.#post(call);
       const text = await res.body.text();
       if (res.statusCode !== 200) return fail(rejected(res, text));
       return parseWhole(text, call.requestId);
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
@@ -48,7 +48,7 @@
       }
       return ok(readChatStream(res.body, call.requestId));
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
@@ -70,7 +70,7 @@
         reason: "load report of an unknown form",
       });
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
@@ -113,7 +113,7 @@
 function parseWhole(
   text: string,
   requestId: RequestId,
-): Result<WholeAnswer, BackendError> {
+): Result<ChatResponse, BackendError> {
   let body: unknown;
   try {
     body = JSON.parse(text);
--- a/src/backends/http_plain_services.ts
+++ b/src/backends/http_plain_services.ts
@@ -3,11 +3,11 @@
 import { type Dispatcher, request } from "undici";
 import { fail, ok, type Result } from "../core/result.ts";
 import { decodeServerNotice } from "../platform/server_notice_wire.ts";
-import { type BackendError, backendErrorOf } from "./backend_error.ts";
+import { type BackendError, toBackendError } from "./backend_error.ts";
 import type {
   PlainServices,
-  ServiceAnswer,
   ServiceCall,
+  ServiceResponse,
 } from "./plain_services.ts";
 
 /** Headers that belong to one connection and are not passed on. */
@@ -31,7 +31,9 @@
     this.#dispatcher = dispatcher;
   }
 
-  async call(call: ServiceCall): Promise<Result<ServiceAnswer, BackendError>> {
+  async call(
+    call: ServiceCall,
+  ): Promise<Result<ServiceResponse, BackendError>> {
     try {
       const res = await request(`${call.server.url}${call.path}`, {
         method: call.method as Dispatcher.HttpMethod,
@@ -50,7 +52,7 @@
         restMs: decodeServerNotice(res.statusCode, res.headers).restMs,
       });
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 }
--- a/src/backends/model_servers.ts
+++ b/src/backends/model_servers.ts
@@ -18,7 +18,7 @@
 }
 
 /** A whole answer, with the text it was parsed from. */
-export interface WholeAnswer {
+export interface ChatResponse {
   readonly text: string;
   readonly answer: ChatAnswer;
 }
@@ -42,7 +42,7 @@
 
 /** Client of all model servers. */
 export interface ModelServers {
-  chat(call: ModelCall): Promise<Result<WholeAnswer, BackendError>>;
+  chat(call: ModelCall): Promise<Result<ChatResponse, BackendError>>;
   stream(call: ModelCall): Promise<Result<ChatStream, BackendError>>;
   /** Tells the server to stop work whose answer nobody wants any more. */
   cancel(server: BackendServer, requestId: RequestId): void;
--- a/src/backends/plain_services.ts
+++ b/src/backends/plain_services.ts
@@ -19,7 +19,7 @@
 }
 
 /** A whole answer of a plain service. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -29,5 +29,5 @@
 
 /** Client of all plain services. */
 export interface PlainServices {
-  call(call: ServiceCall): Promise<Result<ServiceAnswer, BackendError>>;
+  call(call: ServiceCall): Promise<Result<ServiceResponse, BackendError>>;
 }
--- a/src/backends/server_end_check.ts
+++ b/src/backends/server_exit_check.ts
@@ -10,14 +10,14 @@
 const REFUSED = "ECONNREFUSED";
 
 /** Asks servers for a connection, each once at a time. */
-export class ServerEndCheck {
+export class ServerExitCheck {
   readonly #asked = new Map<InstanceId, Promise<boolean>>();
 
   /**
    * Whether nothing listens where the server was: its process has ended. A server that
    * takes the connection has only lost one, and one that says nothing may be cut off.
    */
-  hasEnded({ instance, address }: ServerRecord): Promise<boolean> {
+  hasExited({ instance, address }: ServerRecord): Promise<boolean> {
     const known = this.#asked.get(instance);
     if (known !== undefined) return known;
     const asked = isRefused(address)
--- a/src/backends/server_end_check_test.ts
+++ b/src/backends/server_exit_check_test.ts
@@ -4,12 +4,12 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import type { InstanceId } from "../core/ids.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
-import { ServerEndCheck } from "./server_end_check.ts";
+import { ServerExitCheck } from "./server_exit_check.ts";
 
 let server: Server;
 let connections: number;
 let record: ServerRecord;
-const check = new ServerEndCheck();
+const check = new ServerExitCheck();
 
 beforeEach(async () => {
   connections = 0;
@@ -33,14 +33,14 @@
 
 describe("check whether a server has ended", () => {
   it("should tell a server that takes connections from one that has ended", async () => {
-    assert.equal(await check.hasEnded(record), false);
+    assert.equal(await check.hasExited(record), false);
     await new Promise((resolve) => server.close(resolve));
-    assert.equal(await check.hasEnded(record), true);
+    assert.equal(await check.hasExited(record), true);
   });
 
   it("should ask once for all tries that broke off together", async () => {
     const answers = await Promise.all(
-      Array.from({ length: 5 }, () => check.hasEnded(record)),
+      Array.from({ length: 5 }, () => check.hasExited(record)),
     );
     assert.deepEqual(answers, [false, false, false, false, false]);
     assert.ok(connections <= 1);
--- a/src/backends/server_probe.ts
+++ b/src/backends/server_probe.ts
@@ -50,7 +50,7 @@
   }
 
   /** Forgets a server that is gone. */
-  forget(instance: InstanceId): void {
+  removeServer(instance: InstanceId): void {
     this.#askedMs.delete(instance);
   }
 
--- a/src/cli/gateway_command.ts
+++ b/src/cli/gateway_command.ts
@@ -11,7 +11,7 @@
   SETTINGS_VARIABLE,
   type VmSettings,
 } from "../platform/vm_settings_wire.ts";
-import { LineWriter, openForLines } from "../runtime/line_writer.ts";
+import { LineWriter, openNonBlocking } from "../runtime/line_writer.ts";
 import { ProcessLogger } from "../runtime/logger.ts";
 import { ExitCode } from "./exit_code.ts";
 import { printError } from "./output.ts";
@@ -55,7 +55,7 @@
   const { vm, dataCentre } = settings.value;
   const logger = new ProcessLogger(
     { vm, data_centre: dataCentre },
-    new LineWriter(openForLines(STANDARD_OUTPUT)),
+    new LineWriter(openNonBlocking(STANDARD_OUTPUT)),
   );
   const gateway = new GatewayProcess({ vmSettings: settings.value, logger });
   process.on("SIGTERM", () => {
--- a/src/entry/service_dispatcher.ts
+++ b/src/entry/service_dispatcher.ts
@@ -3,7 +3,7 @@
 import type { BackendError } from "../backends/backend_error.ts";
 import type {
   PlainServices,
-  ServiceAnswer,
+  ServiceResponse,
 } from "../backends/plain_services.ts";
 import type {
   BackendServer,
@@ -64,7 +64,7 @@
   /** Returns the service's answer, or why there is none. */
   async dispatch(
     req: ServiceRequest,
-  ): Promise<Result<ServiceAnswer, RequestError>> {
+  ): Promise<Result<ServiceResponse, RequestError>> {
     const { deadline } = req.ctx;
     const budget = this.#deps.retryBudget;
     const tried = new Set<BackendId>();
@@ -109,7 +109,7 @@
   async #tryOnce(
     server: BackendServer,
     { ctx, method, path, query, headers, body }: ServiceRequest,
-  ): Promise<Result<ServiceAnswer, BackendError>> {
+  ): Promise<Result<ServiceResponse, BackendError>> {
     const { serverPool, plainServices, clock, entryMetrics } = this.#deps;
     serverPool.begin(server.id);
     const answer = await plainServices.call({
--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -7,7 +7,7 @@
 import { digestAnswerSchema } from "../protocol/digest_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { RepeatedTask } from "../runtime/repeated_task.ts";
 import type { CrashRegistry } from "../store/crash_registry.ts";
 import type { VmRegistry } from "../store/vm_registry.ts";
@@ -67,7 +67,7 @@
   readonly crashNews: CrashNews;
   readonly fleetSize: FleetSize;
   readonly clock: Clock;
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
   /** Addresses of VMs that may be there, from settings and store. */
   readonly seedAddresses: () => readonly string[];
@@ -238,7 +238,7 @@
   async #ask(address: string): Promise<Asked> {
     const { digestKeeper } = this.#deps;
     const question = digestKeeper.question();
-    const askedMs = this.#deps.trustClock.nowMs();
+    const askedMs = this.#deps.suspendAwareClock.nowMs();
     const answer = await this.#deps.vmClients.call(address, {
       timeoutMs: TIMEOUT_MS,
       ask: async (client, signal) =>
--- a/src/fleet/digest_keeper.ts
+++ b/src/fleet/digest_keeper.ts
@@ -227,7 +227,7 @@
     this.#deps.crashNews.hear(told.crashes, told.self.id);
     this.#deps.limitNews.hear(told.limits, told.self.id);
     for (const life of told.leaving) this.#deps.serverFollower.leaves(life);
-    this.#memberNews.note(memberTable.merge([told.self, ...told.news], nowMs));
+    this.#memberNews.add(memberTable.merge([told.self, ...told.news], nowMs));
     this.#noteSessions(told, nowMs);
     for (const key of told.braked) this.#brake(key, told.self.id);
     relayRole.heardStore(told.self.id, { lost: told.storeLost });
@@ -275,9 +275,9 @@
 
 function memberNewsOf(logger: Logger): BurstLog<Member> {
   return new BurstLog({
-    one: ({ id, state, incarnation }) =>
+    logOne: ({ id, state, incarnation }) =>
       logger.info("VM changed state", { peer: id, state, incarnation }),
-    many: (members) =>
+    logMany: (members) =>
       logger.info("Many VMs changed state", {
         changes: members.length,
         news: members.map(({ id, state }) => `${id} ${state}`).join(","),
--- a/src/fleet/digest_server.ts
+++ b/src/fleet/digest_server.ts
@@ -10,10 +10,10 @@
 import { TRPCError } from "@trpc/server";
 import { parseAddress } from "../runtime/address.ts";
 import {
-  PACKED_ENCODING,
-  packJson,
-  unpackJson,
-} from "../runtime/packed_json.ts";
+  COMPRESSED_ENCODING,
+  decodeJson,
+  encodeJson,
+} from "../runtime/compressed_json.ts";
 import {
   createDigestCaller,
   type DigestAnswerers,
@@ -64,7 +64,7 @@
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const packed = req.headers["accept-encoding"] === PACKED_ENCODING;
+    const packed = req.headers["accept-encoding"] === COMPRESSED_ENCODING;
     try {
       const data = await this.#answer(req);
       send(res, { status: 200, body: { result: { data } }, packed });
@@ -107,7 +107,7 @@
 /** The procedure checks the form of what is parsed here. */
 function parseBody(bytes: Buffer, encoding: string | undefined): never {
   try {
-    return unpackJson(bytes, { encoding, limitBytes: MAX_BODY_BYTES }) as never;
+    return decodeJson(bytes, { encoding, limitBytes: MAX_BODY_BYTES }) as never;
   } catch (err) {
     throw new TRPCError({
       code: "PARSE_ERROR",
@@ -140,7 +140,7 @@
 
 function send(res: ServerResponse, { status, body, packed }: SentAnswer): void {
   const answer = packed
-    ? packJson(body)
+    ? encodeJson(body)
     : { body: JSON.stringify(body), encoding: undefined };
   res.writeHead(status, {
     "content-type": "application/json",
--- a/src/fleet/limit_news.ts
+++ b/src/fleet/limit_news.ts
@@ -34,8 +34,8 @@
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#log = new BurstLog({
-      one: (heard) => this.#logOne(heard),
-      many: (heard) => this.#logMany(heard),
+      logOne: (heard) => this.#logOne(heard),
+      logMany: (heard) => this.#logMany(heard),
     });
   }
 
@@ -62,7 +62,7 @@
     for (const { instance, bornMs, limitPerS, ageMs } of told) {
       const life = { instance, bornMs };
       const notice = { life, limitPerS, atMs: nowMs - ageMs };
-      if (serverLimits.receive(notice)) this.#log.note([{ notice, from }]);
+      if (serverLimits.receive(notice)) this.#log.add([{ notice, from }]);
     }
   }
 
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -5,7 +5,7 @@
 import { feedAnswerSchema } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { pause } from "../runtime/pause.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { StoreSync } from "../store/store_sync.ts";
@@ -34,7 +34,7 @@
   readonly routingFollower: RoutingFollower;
   readonly vmClients: VmClients;
   readonly clock: Clock;
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
 }
 
@@ -83,10 +83,11 @@
 
   /** Returns whether the reader answered. */
   async #ask({ id, peers }: Member, waitMs: number): Promise<boolean> {
-    const { storeSync, relayRole, vmClients, clock, trustClock } = this.#deps;
+    const { storeSync, relayRole, vmClients, clock, suspendAwareClock } =
+      this.#deps;
     const question = { known: storeSync.known(), waitMs };
     const askedMs = clock.monotonicMs();
-    const datedMs = trustClock.nowMs();
+    const datedMs = suspendAwareClock.nowMs();
     const answer = await vmClients.call(peers, {
       timeoutMs: waitMs + GRACE_MS,
       ask: async (client, signal) =>
--- a/src/fleet/store_subscriber_test.ts
+++ b/src/fleet/store_subscriber_test.ts
@@ -5,7 +5,7 @@
 import { fail, ok } from "../core/result.ts";
 import type { FeedAnswer, FeedQuestion } from "../protocol/store_schema.ts";
 import { SilentLogger } from "../runtime/logger.ts";
-import { TrustClock } from "../runtime/trust_clock.ts";
+import { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { StoreSync } from "../store/store_sync.ts";
 import type { FleetRelayRole } from "./fleet_relay_role.ts";
@@ -70,7 +70,7 @@
       },
     } as unknown as VmClients,
     clock: CLOCK,
-    trustClock: new TrustClock({ clock: CLOCK }),
+    suspendAwareClock: new SuspendAwareClock({ clock: CLOCK }),
     logger: new SilentLogger(),
   });
 });
--- a/src/gateway/attempt_acks.ts
+++ b/src/gateway/attempt_acks.ts
@@ -59,7 +59,7 @@
         record.ackedMs = clock.monotonicMs();
         gatewayMetrics.unackedAttempts.dec({ service: server.service });
         const ageMs = record.ackedMs - sentMs;
-        if (ageMs >= LATE_ACK_MS) this.#late.note([{ server, ageMs }]);
+        if (ageMs >= LATE_ACK_MS) this.#late.add([{ server, ageMs }]);
         onAcked();
       },
     });
@@ -105,13 +105,13 @@
 
 function createLateLog(logger: Logger): BurstLog<LateAttempt> {
   return new BurstLog({
-    one: ({ server, ageMs }) =>
+    logOne: ({ server, ageMs }) =>
       logger.warn("Backend server acknowledged an attempt late", {
         server: incarnationIdOf(server),
         service: server.service,
         age_ms: Math.round(ageMs),
       }),
-    many: (attempts) =>
+    logMany: (attempts) =>
       logger.warn("Backend servers acknowledged attempts late", {
         servers: new Set(attempts.map(({ server }) => server.instance)).size,
         count: attempts.length,
--- a/src/gateway/attempt_observer.ts
+++ b/src/gateway/attempt_observer.ts
@@ -1,6 +1,6 @@
 /** Updates statistics of servers, models, releases and sessions from the progress of attempts. */
 
-import type { TryOutcome } from "../backends/backend_try.ts";
+import type { BackendAttemptOutcome } from "../backends/backend_attempt.ts";
 import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { InstanceId, RouteId, ServiceId } from "../core/ids.ts";
 import type { EvidenceAggregator } from "../core/rollout/evidence.ts";
@@ -112,7 +112,7 @@
   /** Called when an attempt has ended; `expired` says whether its request has timed out. */
   attemptEnded(
     observed: ObservedAttempt,
-    { outcome, expired }: { outcome: TryOutcome; expired: boolean },
+    { outcome, expired }: { outcome: BackendAttemptOutcome; expired: boolean },
   ): void {
     const { server, record, work } = observed;
     const read = record.firstByteMs !== undefined;
@@ -132,7 +132,7 @@
 
   #recordEvidence(
     { server, service, route, record }: ObservedAttempt,
-    { outcome, expired }: { outcome: TryOutcome; expired: boolean },
+    { outcome, expired }: { outcome: BackendAttemptOutcome; expired: boolean },
   ): void {
     const failed = isReleaseFailure(outcome, expired);
     if (failed === undefined) return;
@@ -148,7 +148,7 @@
 
   #recordPace(
     { route, head, record }: ObservedAttempt,
-    outcome: TryOutcome,
+    outcome: BackendAttemptOutcome,
   ): void {
     if (outcome.tag !== "streamed" || record.model === undefined) return;
     const { modelLatencyEstimator, clock } = this.#deps;
@@ -162,7 +162,7 @@
     });
   }
 
-  #recordHealth(outcome: TryOutcome, instance: InstanceId): void {
+  #recordHealth(outcome: BackendAttemptOutcome, instance: InstanceId): void {
     const { serverLoads, clock, logger } = this.#deps;
     const nowMs = clock.monotonicMs();
     const ejectedMs = this.#ejectionMs(outcome, { instance, nowMs });
@@ -177,7 +177,7 @@
 
   /** Updates the health of a server; returns how long it is ejected, undefined if it is not. */
   #ejectionMs(
-    outcome: TryOutcome,
+    outcome: BackendAttemptOutcome,
     { instance, nowMs }: { instance: InstanceId; nowMs: number },
   ): number | undefined {
     const { serverLoads } = this.#deps;
@@ -209,14 +209,14 @@
 }
 
 /** Whether it is certain that the server did not run the request. */
-function wasNotRun({ tag }: TryOutcome): boolean {
+function wasNotRun({ tag }: BackendAttemptOutcome): boolean {
   return tag === "not_run" || tag === "withheld" || tag === "not_sent" ||
     tag === "misdirected";
 }
 
 /** Whether an outcome counts as a failure of the release; undefined if it does not count at all. */
 function isReleaseFailure(
-  outcome: TryOutcome,
+  outcome: BackendAttemptOutcome,
   expired: boolean,
 ): boolean | undefined {
   switch (outcome.tag) {
--- a/src/gateway/attempt_observer_test.ts
+++ b/src/gateway/attempt_observer_test.ts
@@ -7,7 +7,7 @@
 
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import type { TryOutcome } from "../backends/backend_try.ts";
+import type { BackendAttemptOutcome } from "../backends/backend_attempt.ts";
 import { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { PromptPartId, ReleaseId, RouteId } from "../core/ids.ts";
 import { EvidenceAggregator } from "../core/rollout/evidence.ts";
@@ -27,7 +27,7 @@
 const NOW_MS = 1_000;
 const HEAD = decodeCallerHead({ "fieldrack-prefix-hash": "aa:900,01:10" });
 /** Outcomes of attempts that no server has run. */
-const NOT_RUN: readonly TryOutcome[] = [
+const NOT_RUN: readonly BackendAttemptOutcome[] = [
   { tag: "not_run", status: 503, restMs: 3_000 },
   { tag: "not_run", status: 503, restMs: 0 },
   { tag: "withheld" },
@@ -86,7 +86,7 @@
 
   it("should stay bound to the release that ran it before", () => {
     const stable = serverRecord("i-1").release;
-    const streamed: TryOutcome = { tag: "streamed", framed: true };
+    const streamed: BackendAttemptOutcome = { tag: "streamed", framed: true };
     observer.attemptEnded(startAttempt(stable), {
       outcome: streamed,
       expired: false,
--- a/src/gateway/attempt_record.ts
+++ b/src/gateway/attempt_record.ts
@@ -1,6 +1,6 @@
 /** Record of one attempt of a request, used for decisions and for the log. */
 
-import type { TryOutcome } from "../backends/backend_try.ts";
+import type { BackendAttemptOutcome } from "../backends/backend_attempt.ts";
 import type { InstanceId, ModelId } from "../core/ids.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
 
@@ -61,7 +61,7 @@
 /** Stores the outcome of an attempt in its record. */
 export function completeAttemptRecord(
   record: AttemptRecord,
-  outcome: TryOutcome,
+  outcome: BackendAttemptOutcome,
 ): void {
   record.outcome = outcome.tag;
   record.reason = reasonOf(outcome);
@@ -106,7 +106,7 @@
     : undefined;
 }
 
-function reasonOf(outcome: TryOutcome): string | undefined {
+function reasonOf(outcome: BackendAttemptOutcome): string | undefined {
   switch (outcome.tag) {
     case "not_sent":
     case "broken":
--- a/src/gateway/attempt_sender.ts
+++ b/src/gateway/attempt_sender.ts
@@ -2,13 +2,13 @@
 
 import type { Buffer } from "node:buffer";
 import type { BackendRequest } from "../backends/backend_connection.ts";
-import type { BackendConnections } from "../backends/backend_connections.ts";
+import type { BackendConnectionPool } from "../backends/backend_connection_pool.ts";
 import {
-  type AnswerHead,
-  BackendTry,
-  type HeadVerdict,
-  type TryOutcome,
-} from "../backends/backend_try.ts";
+  BackendAttempt,
+  type BackendAttemptOutcome,
+  type HeadDecision,
+  type ResponseHead,
+} from "../backends/backend_attempt.ts";
 import type { InstanceId, ModelId, ServiceId } from "../core/ids.ts";
 import { mayRunAgain } from "../core/routes/route.ts";
 import type { ServerLoads } from "../core/servers/server_loads.ts";
@@ -50,7 +50,7 @@
   readonly serverAdmission: ServerAdmission;
   readonly placeBorrower: PlaceBorrower;
   readonly suspectPlacement: SuspectPlacement;
-  readonly backendConnections: BackendConnections;
+  readonly backendConnectionPool: BackendConnectionPool;
   readonly attemptObserver: AttemptObserver;
   readonly attemptStallDetector: AttemptStallDetector;
   readonly attemptAcks: AttemptAcks;
@@ -83,7 +83,7 @@
   /** Time until the request expires, in milliseconds. */
   readonly remainingMs: number;
   /** Decides by its head how a response is handled. */
-  readonly onHead: (head: AnswerHead) => HeadVerdict;
+  readonly onHead: (head: ResponseHead) => HeadDecision;
   /** Whether other requests suspected of crashing servers avoid this server meanwhile. */
   readonly isolate: boolean;
   /** Permit that a retry consumes when its first byte is written. */
@@ -100,7 +100,7 @@
   readonly #request: OutgoingRequest;
   readonly #tried = new Set<InstanceId>();
   readonly #attempts: AttemptRecord[] = [];
-  #current: BackendTry | undefined;
+  #current: BackendAttempt | undefined;
   /** Server of the latest attempt. */
   #server: ServerRecord | undefined;
 
@@ -228,9 +228,9 @@
   async send(
     server: ServerRecord,
     options: AttemptOptions,
-  ): Promise<TryOutcome> {
+  ): Promise<BackendAttemptOutcome> {
     const {
-      backendConnections,
+      backendConnectionPool,
       attemptObserver,
       serverAdmission,
       serverNoticeHandler,
@@ -245,7 +245,7 @@
     const place = serverAdmission.reserve(server);
     if (options.isolate) suspectPlacement.add(server.instance);
     attemptObserver.attemptStarted(observed);
-    this.#current = new BackendTry(backendConnections, {
+    this.#current = new BackendAttempt(backendConnectionPool, {
       server,
       request: this.#backendRequest(server, options),
       attempt: exchange.head.attempt,
@@ -261,7 +261,7 @@
         return maySend;
       },
       sink: {
-        judge: (head) => {
+        decideByHead: (head) => {
           observed.record.confidence = head.decoded.confidence;
           serverAdmission.recordAccepted(server, observed.record.startedMs);
           if (head.status < FIRST_FAILURE_STATUS) {
@@ -283,7 +283,8 @@
           attemptObserver.bytesReceived(observed);
           attemptAcks.responseReceived(server, observed.record);
         },
-        onClosed: () => attemptAcks.connectionClosed(server, observed.record),
+        onConnectionLost: () =>
+          attemptAcks.connectionClosed(server, observed.record),
       },
     });
     const outcome = await this.#current.run();
@@ -331,8 +332,8 @@
   }
 
   /** Aborts the current attempt, if there is one. */
-  abort(outcome?: TryOutcome): void {
-    this.#current?.giveUp(outcome);
+  abort(outcome?: BackendAttemptOutcome): void {
+    this.#current?.abort(outcome);
   }
 
   /** Aborts the current attempt because its server has stalled. */
--- a/src/gateway/caller_exchange.ts
+++ b/src/gateway/caller_exchange.ts
@@ -4,7 +4,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { type Refusal, refusalAnswer } from "../core/refusal.ts";
 import { fail, ok, type Result } from "../core/result.ts";
-import type { AnswerHead } from "../backends/backend_try.ts";
+import type { ResponseHead } from "../backends/backend_attempt.ts";
 import {
   answerHeadersFor,
   type CallerHead,
@@ -141,7 +141,7 @@
   }
 
   /** Sends a complete response of a backend server. */
-  respond({ status, headers }: AnswerHead, body: Buffer): void {
+  respond({ status, headers }: ResponseHead, body: Buffer): void {
     if (this.#state !== "none") return;
     const length = this.method === "HEAD"
       ? headers["content-length"]
@@ -154,7 +154,7 @@
   }
 
   /** Sends the head of a response whose body is streamed. */
-  beginStream({ status, headers }: AnswerHead): void {
+  beginStream({ status, headers }: ResponseHead): void {
     if (this.#state !== "none") return;
     this.#corkForTurn();
     this.#begin(status, answerHeadersFor(headers));
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -1,6 +1,6 @@
 /** Detects requests that were starting to run on a backend server when it crashed. */
 
-import type { ServerEndCheck } from "../backends/server_end_check.ts";
+import type { ServerExitCheck } from "../backends/server_exit_check.ts";
 import { type Crash, mayHaveCausedCrash } from "../core/crashes/crash.ts";
 import type {
   CrashHistory,
@@ -20,7 +20,7 @@
 import type { AttemptRecord } from "./attempt_record.ts";
 
 interface Deps {
-  readonly serverEndCheck: ServerEndCheck;
+  readonly serverExitCheck: ServerExitCheck;
   readonly serverDirectory: ServerDirectory;
   readonly crashHistory: CrashHistory;
   readonly crashNews: CrashNews;
@@ -98,7 +98,7 @@
     monitored: MonitoredRequest,
     brokenAttempt: BrokenAttempt,
   ): Promise<void> {
-    const { serverEndCheck, clock, gatewayMetrics } = this.#deps;
+    const { serverExitCheck, clock, gatewayMetrics } = this.#deps;
     const { server, record } = brokenAttempt;
     const endedMs = clock.monotonicMs();
     const suspected = mayHaveCausedCrash({
@@ -106,7 +106,7 @@
       firstByteMs: record.firstByteMs,
       endedMs: endedMs - record.startedMs,
     });
-    if (!await serverEndCheck.hasEnded(server)) return;
+    if (!await serverExitCheck.hasExited(server)) return;
     gatewayMetrics.serverExits.inc({ service: monitored.service });
     const crash = this.#crashOf(monitored, { brokenAttempt, endedMs });
     this.#log(crash, { monitored, brokenAttempt, suspected });
--- a/src/gateway/gateway_container.ts
+++ b/src/gateway/gateway_container.ts
@@ -8,8 +8,8 @@
   InjectionMode,
   type Resolver,
 } from "awilix";
-import { BackendConnections } from "../backends/backend_connections.ts";
-import { ServerEndCheck } from "../backends/server_end_check.ts";
+import { BackendConnectionPool } from "../backends/backend_connection_pool.ts";
+import { ServerExitCheck } from "../backends/server_exit_check.ts";
 import { ServerProbe } from "../backends/server_probe.ts";
 import { CrashHistory } from "../core/crashes/crash_history.ts";
 import { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
@@ -51,7 +51,7 @@
 import { type Clock, SystemClock } from "../runtime/clock.ts";
 import { unitHash } from "../runtime/hashing.ts";
 import type { Logger } from "../runtime/logger.ts";
-import { TrustClock } from "../runtime/trust_clock.ts";
+import { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { CrashRegistry } from "../store/crash_registry.ts";
 import { MissedChangeDetector } from "../store/missed_change_detector.ts";
 import { SeenRevisions } from "../store/seen_revisions.ts";
@@ -102,7 +102,7 @@
   readonly serverFollower: ServerFollower;
   readonly rollOutFollower: RollOutFollower;
   readonly evacuationFollower: EvacuationFollower;
-  readonly backendConnections: BackendConnections;
+  readonly backendConnectionPool: BackendConnectionPool;
   readonly serverLoads: ServerLoads;
   readonly coldServerGuard: ColdServerGuard;
   readonly coldAdmission: ColdAdmission;
@@ -141,7 +141,9 @@
     clock: asFunction(() => new SystemClock()).singleton(),
   });
   const components = {} as GatewayComponents;
-  container.register({ trustClock: singletonFactory(components)(TrustClock) });
+  container.register({
+    suspendAwareClock: singletonFactory(components)(SuspendAwareClock),
+  });
   const context = { vmSettings, singleton: singletonFactory(components) };
   registerCore(container, context);
   registerAdapters(container, context);
@@ -282,9 +284,9 @@
       { seedList, vmRegistry }: { seedList: SeedList; vmRegistry: VmRegistry },
     ) =>
     () => [...seedList.seeds, ...vmRegistry.addresses]).singleton(),
-    backendConnections: singleton(BackendConnections),
+    backendConnectionPool: singleton(BackendConnectionPool),
     serverProbe: singleton(ServerProbe),
-    serverEndCheck: asFunction(() => new ServerEndCheck()).singleton(),
+    serverExitCheck: asFunction(() => new ServerExitCheck()).singleton(),
     crashDetector: singleton(CrashDetector),
     suspectPlacement: asFunction(() => new SuspectPlacement()).singleton(),
     stopState: singleton(StopState),
--- a/src/gateway/gateway_process.ts
+++ b/src/gateway/gateway_process.ts
@@ -51,14 +51,14 @@
     components.evacuationFollower.start();
     components.serverFollower.start();
     components.serverFollower.onRemoved(({ instance }) => {
-      components.backendConnections.drop(instance);
+      components.backendConnectionPool.closeIdle(instance);
       components.coldAdmission.remove(instance);
       components.limitAdmission.remove(instance);
       components.serverLoads.remove(instance);
       components.serverStallDetector.removeInactive(
         components.clock.monotonicMs(),
       );
-      components.serverProbe.forget(instance);
+      components.serverProbe.removeServer(instance);
       components.promptHolders.recordServerEnd(
         instance,
         components.clock.monotonicMs(),
@@ -132,7 +132,7 @@
     await components.requestServer.close();
     await components.digestServer.close();
     await components.controlServer.close();
-    components.backendConnections.close();
+    components.backendConnectionPool.close();
     await components.objectStore.close();
   }
 }
--- a/src/gateway/request_crash_tracker.ts
+++ b/src/gateway/request_crash_tracker.ts
@@ -1,6 +1,6 @@
 /** Tracks the server crashes that occur during one request. */
 
-import type { TryOutcome } from "../backends/backend_try.ts";
+import type { BackendAttemptOutcome } from "../backends/backend_attempt.ts";
 import type { QuarantineStatus } from "../core/crashes/crash_history.ts";
 import type { ServerLife } from "../core/ids.ts";
 import {
@@ -62,7 +62,7 @@
 
   /** Checks after a lost connection whether the server crashed, before another attempt is made. */
   async recordAttemptEnd(
-    outcome: TryOutcome,
+    outcome: BackendAttemptOutcome,
     { server, record }: {
       server: ServerRecord;
       record: AttemptRecord | undefined;
--- a/src/gateway/request_crash_tracker_test.ts
+++ b/src/gateway/request_crash_tracker_test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import { serverRecord } from "../../tests/fixtures/server_record.ts";
-import type { ServerEndCheck } from "../backends/server_end_check.ts";
+import type { ServerExitCheck } from "../backends/server_exit_check.ts";
 import { CrashHistory } from "../core/crashes/crash_history.ts";
 import type { ServiceId } from "../core/ids.ts";
 import { ServerDirectory } from "../core/servers/server_directory.ts";
@@ -43,10 +43,10 @@
   confirmCrashes = [];
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
   const logger = new SilentLogger();
-  const hasEnded = () =>
+  const hasExited = () =>
     new Promise<boolean>((resolve) => confirmCrashes.push(() => resolve(true)));
   const detector = new CrashDetector({
-    serverEndCheck: { hasEnded } as unknown as ServerEndCheck,
+    serverExitCheck: { hasExited } as unknown as ServerExitCheck,
     serverDirectory: new ServerDirectory(),
     crashHistory: book,
     crashNews: new CrashNews({ crashHistory: book, clock, logger }),
--- a/src/gateway/request_run.ts
+++ b/src/gateway/request_run.ts
@@ -2,10 +2,10 @@
 
 import type { Buffer } from "node:buffer";
 import type {
-  AnswerHead,
-  HeadVerdict,
-  TryOutcome,
-} from "../backends/backend_try.ts";
+  BackendAttemptOutcome,
+  HeadDecision,
+  ResponseHead,
+} from "../backends/backend_attempt.ts";
 import type { ModelLatencyEstimator } from "../core/cascade/model_latency_estimator.ts";
 import type { ServiceId } from "../core/ids.ts";
 import type { RetryBudget } from "../core/limits/retry_budget.ts";
@@ -215,7 +215,7 @@
     return !this.#sender.wasSent || this.#retryPermit.acquire();
   }
 
-  #sendAttempt(server: ServerRecord): Promise<TryOutcome> {
+  #sendAttempt(server: ServerRecord): Promise<BackendAttemptOutcome> {
     return this.#sender.send(server, {
       admitted: this.#admitted,
       isolate: this.#crashes.isSuspected,
@@ -245,7 +245,7 @@
     this.#sender.abortStalled(reason);
   }
 
-  #decideByHead(head: AnswerHead): HeadVerdict {
+  #decideByHead(head: ResponseHead): HeadDecision {
     const { status, decoded } = head;
     const { route } = this.#admitted;
     if (status >= 300 || route.kind !== "stream") return "collect";
@@ -271,7 +271,7 @@
   }
 
   #handleOutcome(
-    outcome: TryOutcome,
+    outcome: BackendAttemptOutcome,
     server: ServerRecord,
   ): StepResult | Promise<StepResult> {
     switch (outcome.tag) {
@@ -318,7 +318,7 @@
   }
 
   #handleAnswered(
-    { head, body }: { head: AnswerHead; body: Buffer },
+    { head, body }: { head: ResponseHead; body: Buffer },
   ): StepResult {
     if (this.#exchange.state === "begun") {
       return this.#resumeStream(`status ${head.status}`);
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -6,10 +6,10 @@
 import { observable } from "@trpc/server/observable";
 import { type Dispatcher, request } from "undici";
 import {
-  PACKED_ENCODING,
-  packJson,
-  unpackJson,
-} from "../runtime/packed_json.ts";
+  COMPRESSED_ENCODING,
+  decodeJson,
+  encodeJson,
+} from "../runtime/compressed_json.ts";
 
 /** How a link connects. */
 export interface PeerLinkOptions {
@@ -61,21 +61,21 @@
     ? `?input=${encodeURIComponent(JSON.stringify(input))}`
     : "";
   const { body, encoding } = packed
-    ? packJson(input)
+    ? encodeJson(input)
     : { body: JSON.stringify(input), encoding: undefined };
   const res = await request(`${url}/${path}${query}`, {
     method: isQuery ? "GET" : "POST",
     headers: {
       ...headers,
       "content-type": "application/json",
-      ...(packed ? { "accept-encoding": PACKED_ENCODING } : {}),
+      ...(packed ? { "accept-encoding": COMPRESSED_ENCODING } : {}),
       ...(encoding === undefined ? {} : { "content-encoding": encoding }),
     },
     body: isQuery ? undefined : body,
     signal: signal ?? undefined,
     dispatcher,
   });
-  const envelope = unpackJson(Buffer.from(await res.body.arrayBuffer()), {
+  const envelope = decodeJson(Buffer.from(await res.body.arrayBuffer()), {
     encoding: one(res.headers["content-encoding"]),
     limitBytes: MAX_ANSWER_BYTES,
   }) as { result?: { data?: unknown } };
--- a/src/runtime/burst_log.ts
+++ b/src/runtime/burst_log.ts
@@ -10,8 +10,8 @@
 
 /** How one piece of news is logged, and how many are. */
 export interface BurstLogOptions<T> {
-  readonly one: (item: T) => void;
-  readonly many: (items: readonly T[]) => void;
+  readonly logOne: (item: T) => void;
+  readonly logMany: (items: readonly T[]) => void;
 }
 
 /** Gathers news for a moment: when a fleet restarts at once, each VM hears of all others. */
@@ -25,7 +25,7 @@
   }
 
   /** Takes in news; it is logged a moment later. */
-  note(items: readonly T[]): void {
+  add(items: readonly T[]): void {
     if (items.length === 0) return;
     this.#items.push(...items);
     this.#timer ??= setTimeout(() => this.flush(), GATHER_MS).unref();
@@ -37,7 +37,7 @@
     this.#timer = undefined;
     const items = this.#items;
     this.#items = [];
-    if (items.length > MOST_LINES) this.#options.many(items);
-    else for (const item of items) this.#options.one(item);
+    if (items.length > MOST_LINES) this.#options.logMany(items);
+    else for (const item of items) this.#options.logOne(item);
   }
 }
--- a/src/runtime/burst_log_test.ts
+++ b/src/runtime/burst_log_test.ts
@@ -5,10 +5,10 @@
 function logOf(items: readonly string[]): string[] {
   const lines: string[] = [];
   const log = new BurstLog<string>({
-    one: (item) => lines.push(item),
-    many: (all) => lines.push(all.join("+")),
+    logOne: (item) => lines.push(item),
+    logMany: (all) => lines.push(all.join("+")),
   });
-  for (const item of items) log.note([item]);
+  for (const item of items) log.add([item]);
   log.flush();
   log.flush();
   return lines;
@@ -25,8 +25,8 @@
 
   it("should log by itself a moment after the news came", async () => {
     const line = await new Promise((resolve) => {
-      const log = new BurstLog<string>({ one: resolve, many: resolve });
-      log.note(["a"]);
+      const log = new BurstLog<string>({ logOne: resolve, logMany: resolve });
+      log.add(["a"]);
       // Its timer keeps no process alive, so this one does.
       const timer = setInterval(() => {}, 1_000);
       setTimeout(() => clearInterval(timer), 2_000);
--- a/src/runtime/packed_json_test.ts
+++ b/src/runtime/compressed_json_test.ts
@@ -2,7 +2,7 @@
 import { Buffer } from "node:buffer";
 import { describe, it } from "node:test";
 import * as fc from "fast-check";
-import { packJson, unpackJson } from "./packed_json.ts";
+import { decodeJson, encodeJson } from "./compressed_json.ts";
 
 const LIMIT = { limitBytes: 1_000_000 };
 
@@ -14,8 +14,8 @@
   it("should give back what was packed", () => {
     fc.assert(
       fc.property(fc.jsonValue({ maxDepth: 4 }), (value) => {
-        const { body, encoding } = packJson(value);
-        const read = unpackJson(asBytes(body), { encoding, ...LIMIT });
+        const { body, encoding } = encodeJson(value);
+        const read = decodeJson(asBytes(body), { encoding, ...LIMIT });
         assert.deepEqual(read, JSON.parse(JSON.stringify(value)));
       }),
       { seed: 7, numRuns: 200 },
@@ -24,18 +24,18 @@
 
   it("should make long messages shorter, and leave short ones readable", () => {
     const rows = Array.from({ length: 40 }, (_, n) => ({ instance: `i-${n}` }));
-    const long = packJson(rows);
+    const long = encodeJson(rows);
     assert.ok(long.body.length < JSON.stringify(rows).length / 2);
-    assert.deepEqual(packJson({ a: 1 }), {
+    assert.deepEqual(encodeJson({ a: 1 }), {
       body: '{"a":1}',
       encoding: undefined,
     });
   });
 
   it("should refuse a message that grows beyond the limit", () => {
-    const { body, encoding } = packJson("x".repeat(10_000));
+    const { body, encoding } = encodeJson("x".repeat(10_000));
     assert.throws(() =>
-      unpackJson(asBytes(body), { encoding, limitBytes: 1_000 })
+      decodeJson(asBytes(body), { encoding, limitBytes: 1_000 })
     );
   });
 });
--- a/src/runtime/line_writer.ts
+++ b/src/runtime/line_writer.ts
@@ -18,7 +18,7 @@
 
 /** Bounds of a writer. */
 export interface LineLimits {
-  readonly maxWaitingBytes?: number;
+  readonly maxBufferedBytes?: number;
   readonly maxLinesPerSecond?: number;
   /** Monotonic time in milliseconds. */
   readonly nowMs?: () => number;
@@ -37,7 +37,7 @@
 
   constructor(out: Writable, limits: LineLimits = {}) {
     this.#out = out;
-    this.#maxWaitingBytes = limits.maxWaitingBytes ?? MAX_WAITING_BYTES;
+    this.#maxWaitingBytes = limits.maxBufferedBytes ?? MAX_WAITING_BYTES;
     this.#maxLinesPerSecond = limits.maxLinesPerSecond ?? MAX_LINES_PER_SECOND;
     this.#nowMs = limits.nowMs ?? (() => performance.now());
     // A reader that has gone is no reason to end; there is nowhere left to say so.
@@ -80,7 +80,7 @@
 }
 
 /** Opens a descriptor for writing that never blocks: Node's own stdout blocks on pipes. */
-export function openForLines(fd: number): Writable {
+export function openNonBlocking(fd: number): Writable {
   const stat = fstatSync(fd);
   if (stat.isFIFO() || stat.isSocket()) {
     return new Socket({ fd, readable: false, writable: true });
--- a/src/runtime/line_writer_test.ts
+++ b/src/runtime/line_writer_test.ts
@@ -26,7 +26,7 @@
 describe("line writer", () => {
   it("should drop lines while nobody reads, and say how many afterwards", () => {
     const reader = new SlowReader();
-    const writer = new LineWriter(reader, { maxWaitingBytes: 25 });
+    const writer = new LineWriter(reader, { maxBufferedBytes: 25 });
     for (let n = 0; n < 10; n++) writer.write("0123456789");
     assert.ok(writer.dropped >= 7);
     const { dropped } = writer;
--- a/src/runtime/trust_clock.ts
+++ b/src/runtime/suspend_aware_clock.ts
@@ -16,7 +16,7 @@
  * much. A jump back changes nothing. Node.js reads no clock that would tell the two apart in
  * parts of a second.
  */
-export class TrustClock {
+export class SuspendAwareClock {
   readonly #clock: Clock;
   /** Time of day less the steady clock, when last read. */
   #aheadMs: number;
--- a/src/runtime/trust_clock_test.ts
+++ b/src/runtime/suspend_aware_clock_test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { TrustClock } from "./trust_clock.ts";
+import { SuspendAwareClock } from "./suspend_aware_clock.ts";
 
 let steadyMs: number;
 let wallMs: number;
-let clock: TrustClock;
+let clock: SuspendAwareClock;
 
 beforeEach(() => {
   steadyMs = 500;
   wallMs = 1_700_000_000_000;
-  clock = new TrustClock({
+  clock = new SuspendAwareClock({
     clock: { monotonicMs: () => steadyMs, wallMs: () => wallMs },
   });
 });
--- a/src/store/routing_follower.ts
+++ b/src/store/routing_follower.ts
@@ -17,7 +17,7 @@
 import type { DeploymentBounds } from "../platform/vm_settings_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LogContext, Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import { asksStore, retryPauseMs, type StoreAccess } from "./store_access.ts";
@@ -56,7 +56,7 @@
   readonly bounds: DeploymentBounds;
   readonly clock: Clock;
   /** By which confirmations are dated: they bind a VM also after it was suspended. */
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
   readonly chance: () => number;
 }
@@ -82,7 +82,7 @@
     this.follower = new KindFollower(deps, {
       kind: CONFIGURATION_KIND,
       listener: this,
-      dateMs: () => deps.trustClock.nowMs(),
+      dateMs: () => deps.suspendAwareClock.nowMs(),
     });
   }
 
@@ -93,7 +93,7 @@
 
   /** Milliseconds since a read showed that no later configuration was accepted. */
   confirmedAgeMs(): number {
-    return this.#deps.trustClock.nowMs() - this.#confirmedAtMs;
+    return this.#deps.suspendAwareClock.nowMs() - this.#confirmedAtMs;
   }
 
   /** Registers a listener for configurations that come into force. */
@@ -194,9 +194,9 @@
   }
 
   async #confirm(): Promise<void> {
-    const { objectStore, storeHealth, clock, trustClock } = this.#deps;
+    const { objectStore, storeHealth, clock, suspendAwareClock } = this.#deps;
     const startedMs = clock.monotonicMs();
-    const datedMs = trustClock.nowMs();
+    const datedMs = suspendAwareClock.nowMs();
     this.#reading = true;
     // A list costs as much as a read of its one object, and tells the store's revision.
     const read = await objectStore.list(CONFIGURATION_KIND, {
--- a/src/store/routing_follower_test.ts
+++ b/src/store/routing_follower_test.ts
@@ -8,7 +8,7 @@
 import type { ObjectStore } from "../platform/object_store.ts";
 import type { DeploymentBounds } from "../platform/vm_settings_wire.ts";
 import { SilentLogger } from "../runtime/logger.ts";
-import { TrustClock } from "../runtime/trust_clock.ts";
+import { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { RoutingFollower } from "./routing_follower.ts";
 import type { MissedChangeDetector } from "./missed_change_detector.ts";
 import { SeenRevisions } from "./seen_revisions.ts";
@@ -18,14 +18,14 @@
 
 let steadyMs: number;
 let wallMs: number;
-let trustClock: TrustClock;
+let suspendAwareClock: SuspendAwareClock;
 let follower: RoutingFollower;
 
 beforeEach(() => {
   steadyMs = 0;
   wallMs = 1_700_000_000_000;
   const clock = { monotonicMs: () => steadyMs, wallMs: () => wallMs };
-  trustClock = new TrustClock({ clock });
+  suspendAwareClock = new SuspendAwareClock({ clock });
   follower = new RoutingFollower({
     objectStore: {} as ObjectStore,
     storeHealth: { onBack: () => {} } as unknown as StoreHealthKeeper,
@@ -33,7 +33,7 @@
     missedChangeDetector: {} as MissedChangeDetector,
     bounds: {} as DeploymentBounds,
     clock,
-    trustClock,
+    suspendAwareClock,
     logger: new SilentLogger(),
     chance: () => 0.5,
   });
@@ -43,7 +43,7 @@
 
 describe("age of a confirmation", () => {
   it("should count the time for which the VM was suspended", () => {
-    follower.read(trustClock.nowMs());
+    follower.read(suspendAwareClock.nowMs());
     wallMs += SUSPENDED_MS;
     assert.ok(follower.confirmedAgeMs() >= SUSPENDED_MS);
   });
@@ -53,17 +53,17 @@
   it("should not be renewed by a list that can't be decoded", () => {
     const spec = { Version: 2, Routes: "unknown" };
     follower.changed({ name: "main", revision: 2, spec, status: null });
-    follower.read(trustClock.nowMs());
+    follower.read(suspendAwareClock.nowMs());
     assert.equal(follower.confirmedAgeMs(), Infinity);
     const readable = { Version: 3, Routes: [], Services: [] };
     const object = { name: "main", revision: 3, spec: readable, status: null };
     follower.changed(object);
-    follower.read(trustClock.nowMs());
+    follower.read(suspendAwareClock.nowMs());
     assert.equal(follower.confirmedAgeMs(), 0);
   });
 
   it("should count it also where the answer was asked for before", () => {
-    const askedMs = trustClock.nowMs();
+    const askedMs = suspendAwareClock.nowMs();
     wallMs += SUSPENDED_MS;
     steadyMs += 20;
     wallMs += 20;
--- a/src/store/server_follower.ts
+++ b/src/store/server_follower.ts
@@ -46,12 +46,12 @@
   readonly follower: KindFollower;
   readonly #listeners: RemovalListener[] = [];
   readonly #news = new BurstLog<DirectoryChange>({
-    one: (change) => this.#logOne(change),
-    many: (changes) => this.#logMany(changes),
+    logOne: (change) => this.#logOne(change),
+    logMany: (changes) => this.#logMany(changes),
   });
   readonly #coldNews = new BurstLog<ServerRecord>({
-    one: (server) => this.#logCold([server]),
-    many: (servers) => this.#logCold(servers),
+    logOne: (server) => this.#logCold([server]),
+    logMany: (servers) => this.#logCold(servers),
   });
   /** Servers whose entries name none at present. */
   readonly #unreadable = new Set<InstanceId>();
@@ -137,7 +137,7 @@
     const { instance, coldForMs: leftMs } = record;
     const nowMs = clock.monotonicMs();
     if (!coldServers.markCold(instance, { leftMs, nowMs })) return;
-    this.#coldNews.note([record]);
+    this.#coldNews.add([record]);
   }
 
   #at() {
@@ -164,7 +164,7 @@
   }
 
   #note(changes: readonly DirectoryChange[]): void {
-    this.#news.note(changes);
+    this.#news.add(changes);
     for (const change of changes) {
       if (change.tag !== "removed") continue;
       for (const listener of this.#listeners) listener(change.server);
