--- a/src/backends/backend_attempt_test.ts
+++ b/src/backends/backend_attempt_test.ts
@@ -85,8 +85,8 @@
     const another = ({ socket }: RawRequest) => {
       socket.write(head({ status, attempt: "another", extra: statusHeaders }));
     };
-    for (const answer of [truncated, another]) {
-      const { send, notices } = await fixture(answer);
+    for (const respond of [truncated, another]) {
+      const { send, notices } = await fixture(respond);
       await send();
       assert.deepEqual(notices, [{
         restMs: 2_000,
--- a/src/backends/backend_connection_test.ts
+++ b/src/backends/backend_connection_test.ts
@@ -1,4 +1,4 @@
-/** Guards against requests that reach a server whole after their attempt was given up. */
+/** Guards against requests that still reach the server in full after their attempt was aborted. */
 
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
@@ -13,9 +13,10 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { BackendConnection } from "./backend_connection.ts";
 
-/** More than the buffer of the server holds, and less than that of the sender besides. */
+/** More than the server's receive buffer holds, but less than that and the send buffer together. */
 const BODY_BYTES = 1_024 * 1_024;
-const SENDING_MS = 300;
+/** Time for the buffers on both sides to fill. */
+const FILL_MS = 300;
 
 let server: Server;
 
@@ -28,7 +29,7 @@
 afterEach(() => server.close());
 
 describe("connection to a server that does not read", () => {
-  it("should keep back what it has not sent once it is given up", async () => {
+  it("should discard unsent bytes when it is destroyed", async () => {
     const { port } = server.address() as AddressInfo;
     const connected = once(server, "connection");
     const connection = new BackendConnection(`127.0.0.1:${port}`, () => {});
@@ -48,14 +49,14 @@
       },
     );
     const [socket] = await connected as [Socket];
-    await pause(SENDING_MS);
+    await pause(FILL_MS);
     connection.destroy();
-    assert.ok(await readAll(socket) < BODY_BYTES);
+    assert.ok(await countReceivedBytes(socket) < BODY_BYTES);
   });
 });
 
-/** Reads until the connection ends; returns how many bytes came. */
-async function readAll(socket: Socket): Promise<number> {
+/** Reads until the connection closes; returns the number of bytes received. */
+async function countReceivedBytes(socket: Socket): Promise<number> {
   let bytes = 0;
   socket.on("data", (chunk: Buffer) => bytes += chunk.length);
   socket.on("error", () => {});
--- a/src/backends/backend_error.ts
+++ b/src/backends/backend_error.ts
@@ -1,41 +1,41 @@
-/** Why a backend server gave no answer. */
+/** Errors of requests to backend servers. */
 
-/** Ways in which a try at a backend server fails. */
+/** Why an attempt at a backend server failed. */
 export type BackendError =
-  /** No connection, so no byte was sent. */
+  /** The connection failed, so no byte was sent. */
   | { readonly tag: "refused"; readonly reason: string }
-  /** Request was sent, or may have been; it may have run. */
+  /** The request was sent, or may have been, and the server may have processed it. */
   | { readonly tag: "failed"; readonly reason: string }
-  /** Server answered with an error of its own. */
+  /** The server responded with an error status. */
   | {
     readonly tag: "rejected";
     readonly status: number;
     readonly reason: string;
-    /** How long the server wants nothing from this entry, in milliseconds; 0 if it says nothing. */
+    /** Backoff that the server requests from this entry, in milliseconds; 0 if none. */
     readonly restMs: number;
   }
-  /** Answer belongs to another request, or has no known form. */
+  /** The response belongs to another request or is malformed. */
   | { readonly tag: "wrong_answer"; readonly reason: string }
-  /** Deadline expired or the caller went; `sent` tells whether bytes may have left. */
+  /** The deadline expired or the caller disconnected; `sent`: whether bytes may have been sent. */
   | { readonly tag: "aborted"; readonly sent: boolean };
 
-const NOT_CONNECTED = new Set([
+const CONNECT_ERRORS = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Turns what the HTTP client threw into a typed error. */
+/** Converts an error thrown by the HTTP client. */
 export function toBackendError(err: unknown): BackendError {
   const { name, code, message } = err as NodeJS.ErrnoException;
   if (name === "AbortError") return { tag: "aborted", sent: true };
   const reason = code ?? message;
-  if (NOT_CONNECTED.has(reason)) return { tag: "refused", reason };
+  if (CONNECT_ERRORS.has(reason)) return { tag: "refused", reason };
   return { tag: "failed", reason };
 }
 
-/** Says in words why the try failed. */
+/** Describes the error for logs and error messages. */
 export function describeBackendError(err: BackendError): string {
   switch (err.tag) {
     case "refused":
@@ -49,6 +49,6 @@
     case "wrong_answer":
       return err.reason;
     case "aborted":
-      return "given up";
+      return "aborted";
   }
 }
--- a/src/backends/chat_stream_reader.ts
+++ b/src/backends/chat_stream_reader.ts
@@ -1,4 +1,4 @@
-/** Reads a streamed answer of a model server. */
+/** Reads the streamed response of a model server. */
 
 import { createParser } from "eventsource-parser";
 import type { Dispatcher } from "undici";
@@ -7,10 +7,10 @@
 import { toBackendError } from "./backend_error.ts";
 import type { ChatStream, StreamEvent } from "./model_servers.ts";
 
-/** Body of a response, as undici gives it. */
+/** Response body as provided by undici. */
 type Body = Dispatcher.ResponseData["body"];
 
-/** Yields the events of `body`; without a proper end the last one is a cut. */
+/** Yields the events of `body`; the last one has the tag `cut` if the stream ends prematurely. */
 export async function* readChatStream(
   body: Body,
   requestId: RequestId,
@@ -25,17 +25,17 @@
     for await (const bytes of body.iterator({ destroyOnReturn: false })) {
       parser.feed(decoder.decode(bytes, { stream: true }));
       if (batch.length === 0) continue;
-      const last = batch.findIndex((event) => event.tag !== "chunk");
-      if (last < 0) {
+      const endIndex = batch.findIndex((event) => event.tag !== "chunk");
+      if (endIndex < 0) {
         yield batch;
         batch = [];
         continue;
       }
-      ended = batch[last]?.tag === "end";
-      yield batch.slice(0, last + 1);
+      ended = batch[endIndex]?.tag === "end";
+      yield batch.slice(0, endIndex + 1);
       return;
     }
-    yield [cut("answer has no end")];
+    yield [cut("stream ended without its end marker")];
   } catch (err) {
     yield [{ tag: "cut", error: toBackendError(err) }];
   } finally {
@@ -43,10 +43,10 @@
   }
 }
 
-/** The connection of an ended stream is used again; that of any other is closed. */
+/** Keeps the connection for reuse if the stream ended properly, and closes it otherwise. */
 function release(body: Body, ended: boolean): void {
   if (ended) void body.dump();
-  // An unread body reports its end as an error, which ends the process if nobody listens.
+  // Destroying an unread body emits an `error` event, which ends the process if unhandled.
   else body.on("error", () => {}).destroy();
 }
 
@@ -59,7 +59,7 @@
     return cut("event is not JSON");
   }
   const parsed = chatChunkSchema.safeParse(content);
-  if (!parsed.success) return cut("event of an unknown form");
+  if (!parsed.success) return cut("event does not match its schema");
   if (parsed.data.id !== requestId) return cut("event of another request");
   return { tag: "chunk", text: data, chunk: parsed.data };
 }
--- a/src/backends/chat_stream_reader_test.ts
+++ b/src/backends/chat_stream_reader_test.ts
@@ -1,9 +1,8 @@
 /**
- * Seen in a trial: an entry process ended with an unhandled 'error' event, RequestAbortedError, as
- * it gave a stream up. How: its server had sent all of it, and the rest lay here unread. The client
- * reports an unread body that is destroyed as an error; while the request runs it listens for that
- * itself, after the answer's last byte nobody does. Cause: the reader destroyed a body without
- * listening for the error.
+ * Guards against an unhandled 'error' event (RequestAbortedError) that ended the entry process when
+ * it abandoned a stream which the server had sent completely but of which a part was unread. undici
+ * emits an error when an unread body is destroyed. It handles that event itself while the request
+ * is running, but not after the last byte of the response, and the reader did not listen for it.
  */
 
 import assert from "node:assert/strict";
@@ -17,7 +16,7 @@
 const ID = "r" as RequestId;
 const EVENT = `data: {"id":"${ID}","choices":[]}\n\n`;
 
-describe("a stream that is given up", () => {
+describe("a stream that is abandoned", () => {
   let server: Server;
   let url: string;
   let agent: Agent;
@@ -41,13 +40,13 @@
     server.close();
   });
 
-  for (const whole of [false, true]) {
-    const state = whole ? "has all been sent" : "still runs";
-    test(`should close its body without an error that nobody hears, if it ${state}`, async () => {
+  for (const complete of [false, true]) {
+    const state = complete ? "was sent completely" : "is still being sent";
+    test(`should close its body without an unhandled error if it ${state}`, async () => {
       const { body } = await request(url, { dispatcher: agent });
       const stream = readChatStream(body, ID)[Symbol.asyncIterator]();
       assert.equal((await stream.next()).value?.length, 1);
-      if (whole) {
+      if (complete) {
         finish();
         while (body.readableLength === 0) await nextTurn();
       }
--- a/src/backends/event_splitter.ts
+++ b/src/backends/event_splitter.ts
@@ -1,27 +1,27 @@
-/** Cuts a stream into whole events, so that no part of one is ever passed on alone. */
+/** Splits a stream of server-sent events so that only complete events are forwarded. */
 
 import { Buffer } from "node:buffer";
 
 const EVENT_END = "\n\n";
 const ID_LINE = /(?:^|\n)id: ?([^\r\n]*)/g;
 
-/** Whole events of a stream. */
+/** Consecutive complete events of a stream. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** Id of the last event that has one. */
+  /** Id of the last event that has one; undefined if none has. */
   readonly lastId: string | undefined;
 }
 
-/** Keeps the beginning of an event until the rest has come. */
+/** Buffers an incomplete event until the rest of it is received. */
 export class EventSplitter {
   #pending: Buffer = Buffer.alloc(0);
 
-  /** Bytes that wait for the rest of their event. */
+  /** Number of buffered bytes of the incomplete event. */
   get pendingBytes(): number {
     return this.#pending.length;
   }
 
-  /** Takes in bytes; returns the events that are whole now, if any. */
+  /** Adds received bytes; returns the events that are now complete, if any. */
   push(chunk: Buffer): CompleteEvents | undefined {
     const bytes = this.#pending.length === 0
       ? chunk
@@ -31,20 +31,20 @@
       this.#pending = bytes;
       return undefined;
     }
-    const whole = bytes.subarray(0, end + EVENT_END.length);
+    const complete = bytes.subarray(0, end + EVENT_END.length);
     this.#pending = bytes.subarray(end + EVENT_END.length);
-    return { bytes: whole, lastId: lastIdOf(whole) };
+    return { bytes: complete, lastId: lastEventId(complete) };
   }
 
-  /** Returns what is left at the end of the stream. */
-  rest(): Buffer {
-    const rest = this.#pending;
+  /** Returns and clears the buffered bytes; called at the end of the stream. */
+  takeRemainder(): Buffer {
+    const remainder = this.#pending;
     this.#pending = Buffer.alloc(0);
-    return rest;
+    return remainder;
   }
 }
 
-function lastIdOf(bytes: Buffer): string | undefined {
+function lastEventId(bytes: Buffer): string | undefined {
   const ids = [...bytes.toString("latin1").matchAll(ID_LINE)];
   return ids.at(-1)?.[1];
 }
--- a/src/backends/http_model_servers.ts
+++ b/src/backends/http_model_servers.ts
@@ -1,4 +1,4 @@
-/** Model servers over HTTP, by the usual chat API. */
+/** HTTP client of model servers with the `/v1/chat/completions` API. */
 
 import { type Dispatcher, request } from "undici";
 import type { BackendServer } from "../core/config/configuration.ts";
@@ -18,10 +18,10 @@
 } from "./model_servers.ts";
 
 const CONTROL_TIMEOUT_MS = 1_000;
-/** Part of a server's error text that is kept. */
-const REASON_LENGTH = 200;
+/** Length to which a server's error text is truncated. */
+const MAX_REASON_CHARS = 200;
 
-/** Client of model servers; one pool of connections for each. */
+/** Uses one connection pool per model server. */
 export class HttpModelServers implements ModelServers {
   readonly #dispatcher: Dispatcher;
 
@@ -33,8 +33,8 @@
     try {
       const res = await this.#post(call);
       const text = await res.body.text();
-      if (res.statusCode !== 200) return fail(rejected(res, text));
-      return parseWhole(text, call.requestId);
+      if (res.statusCode !== 200) return fail(toRejection(res, text));
+      return parseChatResponse(text, call.requestId);
     } catch (err) {
       return fail(toBackendError(err));
     }
@@ -44,7 +44,7 @@
     try {
       const res = await this.#post(call);
       if (res.statusCode !== 200) {
-        return fail(rejected(res, await res.body.text()));
+        return fail(toRejection(res, await res.body.text()));
       }
       return ok(readChatStream(res.body, call.requestId));
     } catch (err) {
@@ -54,7 +54,7 @@
 
   cancel(server: BackendServer, requestId: RequestId): void {
     const body = JSON.stringify({ request_id: requestId });
-    // A lost cancel costs some tokens only; nobody waits for the answer.
+    // Errors are ignored: a lost cancellation only costs some generated tokens.
     this.#control(server, { path: "/v1/cancel", body }).catch(() => {});
   }
 
@@ -67,7 +67,7 @@
       if (parsed.success) return ok(parsed.data);
       return fail({
         tag: "wrong_answer",
-        reason: "load report of an unknown form",
+        reason: "load report does not match its schema",
       });
     } catch (err) {
       return fail(toBackendError(err));
@@ -90,7 +90,7 @@
     });
   }
 
-  /** Returns the text of the answer. */
+  /** Sends a control request; returns the text of the response. */
   #control(
     server: BackendServer,
     { path, body }: { path: string; body?: string },
@@ -110,7 +110,7 @@
   }
 }
 
-function parseWhole(
+function parseChatResponse(
   text: string,
   requestId: RequestId,
 ): Result<ChatResponse, BackendError> {
@@ -118,23 +118,26 @@
   try {
     body = JSON.parse(text);
   } catch {
-    return fail({ tag: "wrong_answer", reason: "answer is not JSON" });
+    return fail({ tag: "wrong_answer", reason: "response is not JSON" });
   }
   const parsed = chatAnswerSchema.safeParse(body);
   if (!parsed.success) {
-    return fail({ tag: "wrong_answer", reason: "answer of an unknown form" });
+    return fail({
+      tag: "wrong_answer",
+      reason: "response does not match its schema",
+    });
   }
   if (parsed.data.id !== requestId) {
-    return fail({ tag: "wrong_answer", reason: "answer to another request" });
+    return fail({ tag: "wrong_answer", reason: "response to another request" });
   }
   return ok({ text, answer: parsed.data });
 }
 
-function rejected(
+function toRejection(
   { statusCode: status, headers }: Dispatcher.ResponseData,
   text: string,
 ): BackendError {
   const { restMs } = decodeServerNotice(status, headers);
-  const reason = text.slice(0, REASON_LENGTH);
+  const reason = text.slice(0, MAX_REASON_CHARS);
   return { tag: "rejected", status, reason, restMs };
 }
--- a/src/backends/http_plain_services.ts
+++ b/src/backends/http_plain_services.ts
@@ -1,4 +1,4 @@
-/** Plain services over HTTP. */
+/** HTTP client of plain services. */
 
 import { type Dispatcher, request } from "undici";
 import { fail, ok, type Result } from "../core/result.ts";
@@ -10,8 +10,8 @@
   ServiceResponse,
 } from "./plain_services.ts";
 
-/** Headers that belong to one connection and are not passed on. */
-const HOP_BY_HOP = new Set([
+/** Headers that apply to a single connection and are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "content-length",
   "keep-alive",
@@ -23,7 +23,7 @@
   "upgrade",
 ]);
 
-/** Client of plain services. */
+/** Forwards responses without their hop-by-hop headers. */
 export class HttpPlainServices implements PlainServices {
   readonly #dispatcher: Dispatcher;
 
@@ -47,7 +47,7 @@
       const body = new Uint8Array(await res.body.arrayBuffer());
       return ok({
         status: res.statusCode,
-        headers: passedOn(res.headers),
+        headers: endToEndHeaders(res.headers),
         body,
         restMs: decodeServerNotice(res.statusCode, res.headers).restMs,
       });
@@ -57,12 +57,12 @@
   }
 }
 
-function passedOn(
+function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || HOP_BY_HOP.has(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
     kept[name] = Array.isArray(value) ? value.join(", ") : value;
   }
   return kept;
--- a/src/backends/model_servers.ts
+++ b/src/backends/model_servers.ts
@@ -1,4 +1,4 @@
-/** Model servers, as the rest of the program sees them. */
+/** Interface of the client of model servers. */
 
 import type { BackendServer } from "../core/config/configuration.ts";
 import type { RequestId } from "../core/ids.ts";
@@ -7,44 +7,44 @@
 import type { Deadline } from "../runtime/deadline.ts";
 import type { BackendError } from "./backend_error.ts";
 
-/** A request for one model server. */
+/** A chat request to one model server. */
 export interface ModelCall {
   readonly server: BackendServer;
   readonly requestId: RequestId;
-  /** Body as JSON text, with the version set. */
+  /** JSON text that names the model version. */
   readonly body: string;
   readonly priority: string;
   readonly deadline: Deadline;
 }
 
-/** A whole answer, with the text it was parsed from. */
+/** A complete response with the text that it was parsed from. */
 export interface ChatResponse {
   readonly text: string;
   readonly answer: ChatAnswer;
 }
 
-/** One event of a stream, with the text it was parsed from. */
+/** An event of a stream; a chunk holds the text that it was parsed from. */
 export type StreamEvent =
   | { readonly tag: "chunk"; readonly text: string; readonly chunk: ChatChunk }
-  /** Proper end of the answer. */
+  /** Regular end of the response. */
   | { readonly tag: "end" }
-  /** Stream broke before its end; always the last event. */
+  /** The stream failed before its end; always the last event. */
   | { readonly tag: "cut"; readonly error: BackendError };
 
-/** A streamed answer: batches of events, as they arrive. */
+/** A streamed response, as batches of events in the order received. */
 export type ChatStream = AsyncIterable<readonly StreamEvent[]>;
 
-/** Load of a model server. */
+/** Numbers of running and waiting requests that a model server reports. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Client of all model servers. */
+/** Client of model servers. */
 export interface ModelServers {
   chat(call: ModelCall): Promise<Result<ChatResponse, BackendError>>;
   stream(call: ModelCall): Promise<Result<ChatStream, BackendError>>;
-  /** Tells the server to stop work whose answer nobody wants any more. */
+  /** Requests that the server stops a request whose response is no longer needed. */
   cancel(server: BackendServer, requestId: RequestId): void;
   load(server: BackendServer): Promise<Result<ReportedLoad, BackendError>>;
 }
--- a/src/backends/plain_services.ts
+++ b/src/backends/plain_services.ts
@@ -1,4 +1,4 @@
-/** Plain services, as the rest of the program sees them. */
+/** Interface of the client of plain services. */
 
 import type { BackendServer } from "../core/config/configuration.ts";
 import type { RequestId } from "../core/ids.ts";
@@ -6,28 +6,28 @@
 import type { Deadline } from "../runtime/deadline.ts";
 import type { BackendError } from "./backend_error.ts";
 
-/** A call of a plain service. */
+/** A request to a plain service. */
 export interface ServiceCall {
   readonly server: BackendServer;
   readonly requestId: RequestId;
   readonly method: string;
-  /** Path below the service, with its query. */
+  /** Path relative to the service, including the query. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array | undefined;
   readonly deadline: Deadline;
 }
 
-/** A whole answer of a plain service. */
+/** A complete response of a plain service. */
 export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** How long the server wants nothing from this entry, in milliseconds; 0 if it says nothing. */
+  /** Backoff that the server requests from this entry, in milliseconds; 0 if none. */
   readonly restMs: number;
 }
 
-/** Client of all plain services. */
+/** Client of plain services. */
 export interface PlainServices {
   call(call: ServiceCall): Promise<Result<ServiceResponse, BackendError>>;
 }
--- a/src/backends/server_exit_check.ts
+++ b/src/backends/server_exit_check.ts
@@ -1,29 +1,30 @@
-/** Tells servers that have ended from connections that broke off. */
+/** Distinguishes the exit of a server process from the loss of a connection. */
 
 import { connect } from "node:net";
 import type { InstanceId } from "../core/ids.ts";
 import type { ServerRecord } from "../core/servers/server_record.ts";
 import { parseAddress } from "../runtime/address.ts";
 
-/** Longest wait for a connection; servers stand a few milliseconds away. */
+/** Round trips to backend servers take a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
-const REFUSED = "ECONNREFUSED";
+const CONNECTION_REFUSED = "ECONNREFUSED";
 
-/** Asks servers for a connection, each once at a time. */
+/** Checks servers by connecting to them; concurrent checks of one server share a connection. */
 export class ServerExitCheck {
-  readonly #asked = new Map<InstanceId, Promise<boolean>>();
+  readonly #checks = new Map<InstanceId, Promise<boolean>>();
 
   /**
-   * Whether nothing listens where the server was: its process has ended. A server that
-   * takes the connection has only lost one, and one that says nothing may be cut off.
+   * Whether the server's process has exited, so that nothing listens at its address. If the server
+   * accepts the connection, only an earlier connection was lost; if the connection times out, the
+   * server may be partitioned from this VM.
    */
   hasExited({ instance, address }: ServerRecord): Promise<boolean> {
-    const known = this.#asked.get(instance);
-    if (known !== undefined) return known;
-    const asked = isRefused(address)
-      .finally(() => this.#asked.delete(instance));
-    this.#asked.set(instance, asked);
-    return asked;
+    const running = this.#checks.get(instance);
+    if (running !== undefined) return running;
+    const check = isRefused(address)
+      .finally(() => this.#checks.delete(instance));
+    this.#checks.set(instance, check);
+    return check;
   }
 }
 
@@ -31,14 +32,14 @@
   const { host, port } = parseAddress(address);
   return new Promise((resolve) => {
     const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
-    const end = (refused: boolean) => {
+    const finish = (refused: boolean) => {
       socket.destroy();
       resolve(refused);
     };
-    socket.once("connect", () => end(false));
-    socket.once("timeout", () => end(false));
+    socket.once("connect", () => finish(false));
+    socket.once("timeout", () => finish(false));
     socket.once("error", (err: NodeJS.ErrnoException) => {
-      end(err.code === REFUSED);
+      finish(err.code === CONNECTION_REFUSED);
     });
   });
 }
--- a/src/backends/server_exit_check_test.ts
+++ b/src/backends/server_exit_check_test.ts
@@ -31,18 +31,18 @@
   server.close();
 });
 
-describe("check whether a server has ended", () => {
-  it("should tell a server that takes connections from one that has ended", async () => {
+describe("check for the exit of a server", () => {
+  it("should distinguish a server that accepts connections from one that has exited", async () => {
     assert.equal(await check.hasExited(record), false);
     await new Promise((resolve) => server.close(resolve));
     assert.equal(await check.hasExited(record), true);
   });
 
-  it("should ask once for all tries that broke off together", async () => {
-    const answers = await Promise.all(
+  it("should connect once for all attempts that failed together", async () => {
+    const results = await Promise.all(
       Array.from({ length: 5 }, () => check.hasExited(record)),
     );
-    assert.deepEqual(answers, [false, false, false, false, false]);
+    assert.deepEqual(results, [false, false, false, false, false]);
     assert.ok(connections <= 1);
   });
 });
--- a/src/backends/server_probe.ts
+++ b/src/backends/server_probe.ts
@@ -1,4 +1,4 @@
-/** Asks model servers that say nothing whether they still answer at all. */
+/** Probes backend servers that send no bytes, to find out whether they still respond. */
 
 import { request } from "undici";
 import type { InstanceId } from "../core/ids.ts";
@@ -10,12 +10,12 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
 
-/** Longest wait for an answer; servers stand a few milliseconds away. */
-const TIMEOUT_MS = 400;
-/** Time between probes of one server, in milliseconds: two fit before it counts as silent. */
-const INTERVAL_MS = 200;
+/** Round trips to backend servers take a few milliseconds. */
+const PROBE_TIMEOUT_MS = 400;
+/** Minimum interval between probes of a server; allows two before it counts as stalled. */
+const PROBE_INTERVAL_MS = 200;
 
-/** Called with what a server says of itself beside its answer to a probe. */
+/** Called with the status that a server sends along with its response to a probe. */
 export type NoticeListener = (notice: ServerNotice) => void;
 
 interface Deps {
@@ -25,50 +25,50 @@
 }
 
 /**
- * A server that reads long prompts says nothing for seconds, like one that is gone. What
- * tells them apart is a question that a server answers whatever it is at.
+ * A server that processes long prompts sends nothing for seconds, just like one that has failed.
+ * A probe tells them apart, because a live server responds to it however busy it is.
  */
 export class ServerProbe {
   readonly #deps: Deps;
-  readonly #askedMs = new Map<InstanceId, number>();
+  readonly #probedMs = new Map<InstanceId, number>();
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Asks a server, unless it was asked just now; an answer counts as a sign of life. */
+  /** Probes a server, at most once per interval; a response counts as activity of the server. */
   ask(
     server: Pick<ServerRecord, "instance" | "address">,
     onNotice: NoticeListener,
   ): void {
     const { instance } = server;
     const nowMs = this.#deps.clock.monotonicMs();
-    const askedMs = this.#askedMs.get(instance);
-    if (askedMs !== undefined && nowMs - askedMs < INTERVAL_MS) return;
-    this.#askedMs.set(instance, nowMs);
-    void this.#ask(server, onNotice);
+    const probedMs = this.#probedMs.get(instance);
+    if (probedMs !== undefined && nowMs - probedMs < PROBE_INTERVAL_MS) return;
+    this.#probedMs.set(instance, nowMs);
+    void this.#probe(server, onNotice);
   }
 
-  /** Forgets a server that is gone. */
+  /** Drops the state kept for a server that was removed. */
   removeServer(instance: InstanceId): void {
-    this.#askedMs.delete(instance);
+    this.#probedMs.delete(instance);
   }
 
-  async #ask(
+  async #probe(
     { instance, address }: Pick<ServerRecord, "instance" | "address">,
     onNotice: NoticeListener,
   ): Promise<void> {
     const { serverStallDetector, clock, logger } = this.#deps;
     try {
       const res = await request(`http://${address}${SERVER_REPORT_PATH}`, {
-        signal: AbortSignal.timeout(TIMEOUT_MS),
+        signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
         reset: true,
       });
       onNotice(decodeServerNotice(res.statusCode, res.headers));
       await res.body.dump();
       serverStallDetector.recordActivity(instance, clock.monotonicMs());
     } catch (err) {
-      logger.info("Server does not answer a probe", {
+      logger.info("Server did not respond to a probe", {
         server: instance,
         reason: (err as Error).message,
       });
--- a/src/backends/server_probe_test.ts
+++ b/src/backends/server_probe_test.ts
@@ -10,7 +10,7 @@
 import { ServerProbe } from "./server_probe.ts";
 
 const instance = "i-1" as InstanceId;
-const WAITING = {
+const WAITING_ATTEMPT = {
   instance,
   kind: "r/m",
   sentMs: 0,
@@ -19,31 +19,31 @@
   byteMs: undefined,
   earliestProbeMs: undefined,
 };
-const unheard = () => {};
+const ignoreNotice = () => {};
 
 let server: Server;
 let paths: string[];
 let nowMs: number;
 let serverStallDetector: ServerStallDetector;
-let warned: () => void;
-/** Of a server that is full; undefined for one that is not. */
+let onLogged: () => void;
+/** Headers of a 503 response; undefined for a server that responds with 200. */
 let headers: OutgoingHttpHeaders | undefined;
 
 function newProbe(): ServerProbe {
-  const logger = { info: () => warned() } as unknown as Logger;
+  const logger = { info: () => onLogged() } as unknown as Logger;
   const clock = { monotonicMs: () => nowMs, wallMs: () => nowMs };
   return new ServerProbe({ serverStallDetector, clock, logger });
 }
 
-async function until(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, 5));
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
 beforeEach(async () => {
   paths = [];
   nowMs = 1_000;
   serverStallDetector = new ServerStallDetector();
-  warned = () => {};
+  onLogged = () => {};
   headers = undefined;
   server = createServer((req, res) => {
     paths.push(req.url ?? "");
@@ -59,21 +59,21 @@
   server.close();
 });
 
-describe("probe of a quiet server", () => {
-  it("should count an answer as a sign of life", async () => {
+describe("probe of a server that sends nothing", () => {
+  it("should count a response as activity of the server", async () => {
     const { port } = server.address() as AddressInfo;
     assert.equal(
-      serverStallDetector.detectStall(WAITING, 1_000),
+      serverStallDetector.detectStall(WAITING_ATTEMPT, 1_000),
       "server_silent",
     );
-    newProbe().ask({ instance, address: `127.0.0.1:${port}` }, unheard);
-    await until(() =>
-      serverStallDetector.detectStall(WAITING, 1_000) === undefined
+    newProbe().ask({ instance, address: `127.0.0.1:${port}` }, ignoreNotice);
+    await waitUntil(() =>
+      serverStallDetector.detectStall(WAITING_ATTEMPT, 1_000) === undefined
     );
     assert.deepEqual(paths, [SERVER_REPORT_PATH]);
   });
 
-  it("should pass on what the server says of itself", async () => {
+  it("should report the status that the server sends along", async () => {
     const { port } = server.address() as AddressInfo;
     const address = `127.0.0.1:${port}`;
     headers = {
@@ -91,26 +91,26 @@
     });
   });
 
-  it("should not ask a server again and again", async () => {
+  it("should probe a server at most once per interval", async () => {
     const { port } = server.address() as AddressInfo;
     const probe = newProbe();
-    probe.ask({ instance, address: `127.0.0.1:${port}` }, unheard);
-    probe.ask({ instance, address: `127.0.0.1:${port}` }, unheard);
+    probe.ask({ instance, address: `127.0.0.1:${port}` }, ignoreNotice);
+    probe.ask({ instance, address: `127.0.0.1:${port}` }, ignoreNotice);
     nowMs += 500;
-    probe.ask({ instance, address: `127.0.0.1:${port}` }, unheard);
-    await until(() => paths.length === 2);
+    probe.ask({ instance, address: `127.0.0.1:${port}` }, ignoreNotice);
+    await waitUntil(() => paths.length === 2);
   });
 
-  it("should leave a server silent that does not answer", async () => {
-    const told = new Promise<void>((resolve) => {
-      warned = resolve;
+  it("should not record activity of a server that does not respond", async () => {
+    const logged = new Promise<void>((resolve) => {
+      onLogged = resolve;
     });
     const { port } = server.address() as AddressInfo;
     await new Promise((resolve) => server.close(resolve));
-    newProbe().ask({ instance, address: `127.0.0.1:${port}` }, unheard);
-    await told;
+    newProbe().ask({ instance, address: `127.0.0.1:${port}` }, ignoreNotice);
+    await logged;
     assert.equal(
-      serverStallDetector.detectStall(WAITING, 1_000),
+      serverStallDetector.detectStall(WAITING_ATTEMPT, 1_000),
       "server_silent",
     );
   });
--- a/src/runtime/burst_log.ts
+++ b/src/runtime/burst_log.ts
@@ -1,20 +1,23 @@
 /**
- * Folds what happens many times at once into one log line. Lines come up to a quarter of a
- * second late; a process that ends meanwhile does not write the last ones.
+ * Combines events that occur in a burst into one log line. Lines are written up to 250 ms late, so
+ * the last ones are lost if the process exits in the meantime.
  */
 
-/** Time for which news is gathered before it is logged, in milliseconds: hardly a delay. */
-const GATHER_MS = 250;
-/** Pieces of news that get a line each; more get one together. */
-const MOST_LINES = 3;
+/** Time for which events are collected before they are logged. */
+const COLLECT_MS = 250;
+/** Up to this many events are logged individually; more are combined into one line. */
+const MAX_INDIVIDUAL_LINES = 3;
 
-/** How one piece of news is logged, and how many are. */
+/** How a single event and a burst of events are logged. */
 export interface BurstLogOptions<T> {
   readonly logOne: (item: T) => void;
   readonly logMany: (items: readonly T[]) => void;
 }
 
-/** Gathers news for a moment: when a fleet restarts at once, each VM hears of all others. */
+/**
+ * Limits the log lines of a burst, such as when all VMs of a fleet restart together and each VM
+ * logs the change of every other.
+ */
 export class BurstLog<T> {
   readonly #options: BurstLogOptions<T>;
   #items: T[] = [];
@@ -24,20 +27,20 @@
     this.#options = options;
   }
 
-  /** Takes in news; it is logged a moment later. */
+  /** Adds events, which are logged after a short delay. */
   add(items: readonly T[]): void {
     if (items.length === 0) return;
     this.#items.push(...items);
-    this.#timer ??= setTimeout(() => this.flush(), GATHER_MS).unref();
+    this.#timer ??= setTimeout(() => this.flush(), COLLECT_MS).unref();
   }
 
-  /** Logs at once what has been gathered. */
+  /** Logs the collected events immediately. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     const items = this.#items;
     this.#items = [];
-    if (items.length > MOST_LINES) this.#options.logMany(items);
+    if (items.length > MAX_INDIVIDUAL_LINES) this.#options.logMany(items);
     else for (const item of items) this.#options.logOne(item);
   }
 }
--- a/src/runtime/burst_log_test.ts
+++ b/src/runtime/burst_log_test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { BurstLog } from "./burst_log.ts";
 
-function logOf(items: readonly string[]): string[] {
+function linesFor(items: readonly string[]): string[] {
   const lines: string[] = [];
   const log = new BurstLog<string>({
     logOne: (item) => lines.push(item),
@@ -15,19 +15,19 @@
 }
 
 describe("burst log", () => {
-  it("should give few pieces of news a line each", () => {
-    assert.deepEqual(logOf(["a", "b"]), ["a", "b"]);
+  it("should log few events individually", () => {
+    assert.deepEqual(linesFor(["a", "b"]), ["a", "b"]);
   });
 
-  it("should fold many into one line, and log nothing twice", () => {
-    assert.deepEqual(logOf(["a", "b", "c", "d"]), ["a+b+c+d"]);
+  it("should combine many events into one line and log none twice", () => {
+    assert.deepEqual(linesFor(["a", "b", "c", "d"]), ["a+b+c+d"]);
   });
 
-  it("should log by itself a moment after the news came", async () => {
+  it("should log by itself shortly after events were added", async () => {
     const line = await new Promise((resolve) => {
       const log = new BurstLog<string>({ logOne: resolve, logMany: resolve });
       log.add(["a"]);
-      // Its timer keeps no process alive, so this one does.
+      // The timer of the log is unreferenced, so this one keeps the process running.
       const timer = setInterval(() => {}, 1_000);
       setTimeout(() => clearInterval(timer), 2_000);
     });
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,16 +1,16 @@
-/** Clocks, behind an interface so that tests can set the time. */
+/** Clocks behind an interface, so that tests can control the time. */
 
 import { performance } from "node:perf_hooks";
 
-/** Two clocks, both in milliseconds. */
+/** Wall clock and monotonic clock, in milliseconds. */
 export interface Clock {
-  /** Time since 1970; may jump. */
+  /** Time since the Unix epoch; may jump. */
   wallMs(): number;
-  /** Time since some start; never goes back. */
+  /** Time since an arbitrary origin; never decreases. */
   monotonicMs(): number;
 }
 
-/** The machine's clocks. */
+/** The clocks of the operating system. */
 export class SystemClock implements Clock {
   wallMs(): number {
     return Date.now();
--- a/src/runtime/compressed_json_test.ts
+++ b/src/runtime/compressed_json_test.ts
@@ -10,19 +10,19 @@
   return typeof body === "string" ? Buffer.from(body) : body;
 }
 
-describe("packed JSON", () => {
-  it("should give back what was packed", () => {
+describe("compressed JSON", () => {
+  it("should decode what it encoded", () => {
     fc.assert(
       fc.property(fc.jsonValue({ maxDepth: 4 }), (value) => {
         const { body, encoding } = encodeJson(value);
-        const read = decodeJson(asBytes(body), { encoding, ...LIMIT });
-        assert.deepEqual(read, JSON.parse(JSON.stringify(value)));
+        const decoded = decodeJson(asBytes(body), { encoding, ...LIMIT });
+        assert.deepEqual(decoded, JSON.parse(JSON.stringify(value)));
       }),
       { seed: 7, numRuns: 200 },
     );
   });
 
-  it("should make long messages shorter, and leave short ones readable", () => {
+  it("should compress long messages and leave short ones as text", () => {
     const rows = Array.from({ length: 40 }, (_, n) => ({ instance: `i-${n}` }));
     const long = encodeJson(rows);
     assert.ok(long.body.length < JSON.stringify(rows).length / 2);
@@ -32,7 +32,7 @@
     });
   });
 
-  it("should refuse a message that grows beyond the limit", () => {
+  it("should reject a message that decompresses to more than the limit", () => {
     const { body, encoding } = encodeJson("x".repeat(10_000));
     assert.throws(() =>
       decodeJson(asBytes(body), { encoding, limitBytes: 1_000 })
--- a/src/runtime/deadline.ts
+++ b/src/runtime/deadline.ts
@@ -1,11 +1,11 @@
-/** One deadline for a request, passed down every call that it leads to. */
+/** Deadline of a request, passed to all calls that are made on its behalf. */
 
 import { performance } from "node:perf_hooks";
 
-/** Why a deadline's signal was raised. */
+/** Why the signal of a deadline was aborted. */
 export type DeadlineEnd = "expired" | "cancelled";
 
-/** Time limit and cancellation in one. Call `close` when the work has ended. */
+/** Combines a time limit with cancellation. Call `close` when the work has finished. */
 export class Deadline {
   readonly limitMs: number;
   readonly #controller = new AbortController();
@@ -16,35 +16,35 @@
   constructor(limitMs: number) {
     this.limitMs = limitMs;
     this.#expiresAtMs = performance.now() + limitMs;
-    this.#timer = setTimeout(() => this.#raise("expired"), limitMs);
+    this.#timer = setTimeout(() => this.#abort("expired"), limitMs);
   }
 
-  /** Raised when the deadline expires or is cancelled. */
+  /** Aborted when the deadline expires or is cancelled. */
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** How it ended; undefined while there is time. */
+  /** Why the signal was aborted; undefined until then. */
   get end(): DeadlineEnd | undefined {
     return this.#end;
   }
 
-  /** Milliseconds left; 0 once expired. */
+  /** Time until the deadline, in milliseconds; 0 once expired. */
   remainingMs(): number {
     return Math.max(0, this.#expiresAtMs - performance.now());
   }
 
-  /** Gives the work up, as when the caller has gone. */
+  /** Cancels the work, for example when the caller has disconnected. */
   cancel(): void {
-    this.#raise("cancelled");
+    this.#abort("cancelled");
   }
 
-  /** Stops the timer; the signal is not raised any more. */
+  /** Stops the timer, so that the deadline no longer expires. */
   close(): void {
     clearTimeout(this.#timer);
   }
 
-  #raise(end: DeadlineEnd): void {
+  #abort(end: DeadlineEnd): void {
     if (this.#end !== undefined) return;
     this.#end = end;
     clearTimeout(this.#timer);
--- a/src/runtime/enable_logs.ts
+++ b/src/runtime/enable_logs.ts
@@ -1,4 +1,4 @@
-/** Imported before roarr, which otherwise keeps quiet unless its user asks for logs. */
+/** Enables roarr, which writes no logs by default. Must be imported before roarr. */
 
 import process from "node:process";
 
--- a/src/runtime/hashing.ts
+++ b/src/runtime/hashing.ts
@@ -1,17 +1,17 @@
-/** Hash functions by Node's crypto library. */
+/** Hash functions based on `node:crypto`. */
 
 import { createHash } from "node:crypto";
 import type { Sha256 } from "../core/ids.ts";
 
-const UNIT_BYTES = 6;
-const UNIT_SIZE = 2 ** (8 * UNIT_BYTES);
+const UNIT_HASH_BYTES = 6;
+const UNIT_HASH_RANGE = 2 ** (8 * UNIT_HASH_BYTES);
 
-/** Lower-case hex SHA-256 of a text. */
+/** Returns the SHA-256 of a text in lower-case hex. */
 export function sha256(text: string): Sha256 {
   return createHash("sha256").update(text).digest("hex") as Sha256;
 }
 
-/** Lower-case hex SHA-256 of parts in order, cut to so many characters. */
+/** Returns the first `length` hex characters of the SHA-256 of the concatenated parts. */
 export function shortDigest(
   parts: readonly (string | Uint8Array)[],
   length: number,
@@ -21,8 +21,8 @@
   return hash.digest("hex").slice(0, length);
 }
 
-/** Hash of a text as a number from 0 up to but not including 1. */
+/** Hashes a text to a number in the interval [0, 1). */
 export function unitHash(text: string): number {
   const digest = createHash("sha256").update(text).digest();
-  return digest.readUIntBE(0, UNIT_BYTES) / UNIT_SIZE;
+  return digest.readUIntBE(0, UNIT_HASH_BYTES) / UNIT_HASH_RANGE;
 }
--- a/src/runtime/line_writer.ts
+++ b/src/runtime/line_writer.ts
@@ -1,22 +1,22 @@
-/** Writes log lines without ever waiting for whoever reads them, and not too many. */
+/** Writes log lines at a limited rate and without blocking on a slow reader. */
 
 import { createWriteStream, fstatSync } from "node:fs";
 import { Socket } from "node:net";
 import { performance } from "node:perf_hooks";
 import type { Writable } from "node:stream";
 
-/** Bytes that wait for a slow reader, beyond which lines are dropped. */
-const MAX_WAITING_BYTES = 256 * 1024;
-/** Lines in one second, beyond which lines are dropped: many times what a busy VM writes. */
+/** Lines are dropped if more bytes than this are buffered for a slow reader. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
+/** Lines beyond this rate are dropped; a busy VM writes only a small fraction of it. */
 const MAX_LINES_PER_SECOND = 300;
 const MS_PER_SECOND = 1_000;
 
-/** Where log lines go. */
+/** Destination of log lines. */
 export interface LineSink {
   write(line: string): void;
 }
 
-/** Bounds of a writer. */
+/** Limits of a `LineWriter`. */
 export interface LineLimits {
   readonly maxBufferedBytes?: number;
   readonly maxLinesPerSecond?: number;
@@ -24,54 +24,54 @@
   readonly nowMs?: () => number;
 }
 
-/** Writes to a file descriptor; drops lines, and counts them, beyond its bounds. */
+/** Writes lines to a stream; drops and counts lines that exceed its limits. */
 export class LineWriter implements LineSink {
   readonly #out: Writable;
-  readonly #maxWaitingBytes: number;
+  readonly #maxBufferedBytes: number;
   readonly #maxLinesPerSecond: number;
   readonly #nowMs: () => number;
   #secondStartMs = -Infinity;
   #linesInSecond = 0;
-  #droppedSinceNote = 0;
+  #unreportedDrops = 0;
   #dropped = 0;
 
   constructor(out: Writable, limits: LineLimits = {}) {
     this.#out = out;
-    this.#maxWaitingBytes = limits.maxBufferedBytes ?? MAX_WAITING_BYTES;
+    this.#maxBufferedBytes = limits.maxBufferedBytes ?? MAX_BUFFERED_BYTES;
     this.#maxLinesPerSecond = limits.maxLinesPerSecond ?? MAX_LINES_PER_SECOND;
     this.#nowMs = limits.nowMs ?? (() => performance.now());
-    // A reader that has gone is no reason to end; there is nowhere left to say so.
+    // The process must survive a closed reader; the error cannot be logged anywhere.
     out.on("error", () => this.#dropped += 1);
   }
 
-  /** Lines dropped since the start. */
+  /** Number of lines dropped since the start. */
   get dropped(): number {
     return this.#dropped;
   }
 
   write(line: string): void {
-    if (!this.#hasRoom(line)) {
+    if (!this.#isWithinLimits(line)) {
       this.#dropped += 1;
-      this.#droppedSinceNote += 1;
+      this.#unreportedDrops += 1;
       return;
     }
-    if (this.#droppedSinceNote > 0) {
-      const lines = this.#droppedSinceNote;
-      this.#droppedSinceNote = 0;
+    if (this.#unreportedDrops > 0) {
+      const lines = this.#unreportedDrops;
+      this.#unreportedDrops = 0;
       const note = { message: "Log lines dropped", context: { lines } };
       this.#out.write(`${JSON.stringify(note)}\n`);
     }
     this.#out.write(`${line}\n`);
   }
 
-  #hasRoom(line: string): boolean {
+  #isWithinLimits(line: string): boolean {
     const nowMs = this.#nowMs();
     if (nowMs - this.#secondStartMs >= MS_PER_SECOND) {
       this.#secondStartMs = nowMs;
       this.#linesInSecond = 0;
     }
     if (this.#linesInSecond >= this.#maxLinesPerSecond) return false;
-    if (this.#out.writableLength + line.length > this.#maxWaitingBytes) {
+    if (this.#out.writableLength + line.length > this.#maxBufferedBytes) {
       return false;
     }
     this.#linesInSecond += 1;
@@ -79,7 +79,7 @@
   }
 }
 
-/** Opens a descriptor for writing that never blocks: Node's own stdout blocks on pipes. */
+/** Opens a descriptor for non-blocking writes, as `process.stdout` blocks on pipes. */
 export function openNonBlocking(fd: number): Writable {
   const stat = fstatSync(fd);
   if (stat.isFIFO() || stat.isSocket()) {
--- a/src/runtime/line_writer_test.ts
+++ b/src/runtime/line_writer_test.ts
@@ -3,20 +3,20 @@
 import { describe, it } from "node:test";
 import { LineWriter } from "./line_writer.ts";
 
-/** A reader that reads nothing until it is told to. */
-class SlowReader extends Writable {
+/** A stream that reads nothing until `release` is called. */
+class BlockedReader extends Writable {
   readonly lines: string[] = [];
   #pending: (() => void)[] = [];
-  stuck = true;
+  isBlocked = true;
 
   override _write(chunk: unknown, _encoding: string, done: () => void): void {
     this.lines.push(String(chunk).trimEnd());
-    if (this.stuck) this.#pending.push(done);
+    if (this.isBlocked) this.#pending.push(done);
     else done();
   }
 
   release(): void {
-    this.stuck = false;
+    this.isBlocked = false;
     const pending = this.#pending;
     this.#pending = [];
     for (const done of pending) done();
@@ -24,8 +24,8 @@
 }
 
 describe("line writer", () => {
-  it("should drop lines while nobody reads, and say how many afterwards", () => {
-    const reader = new SlowReader();
+  it("should drop lines while the reader is blocked, and report their number afterwards", () => {
+    const reader = new BlockedReader();
     const writer = new LineWriter(reader, { maxBufferedBytes: 25 });
     for (let n = 0; n < 10; n++) writer.write("0123456789");
     assert.ok(writer.dropped >= 7);
@@ -36,8 +36,8 @@
     assert.equal(reader.lines.at(-1), "later");
   });
 
-  it("should write so many lines a second and no more", () => {
-    const reader = new SlowReader();
+  it("should limit the number of lines per second", () => {
+    const reader = new BlockedReader();
     reader.release();
     let nowMs = 0;
     const writer = new LineWriter(reader, {
@@ -52,10 +52,10 @@
     assert.equal(writer.dropped, 15);
   });
 
-  it("should go on when its reader has gone", () => {
-    const reader = new SlowReader();
+  it("should not throw after its reader was closed", () => {
+    const reader = new BlockedReader();
     const writer = new LineWriter(reader);
-    reader.destroy(new Error("Reader has gone"));
+    reader.destroy(new Error("Reader closed"));
     assert.doesNotThrow(() => writer.write("line"));
   });
 });
--- a/src/runtime/listen.ts
+++ b/src/runtime/listen.ts
@@ -1,11 +1,11 @@
-/** Listening on addresses from settings; port 0 lets the system choose one. */
+/** Listens on addresses from the settings; with port 0 the system chooses a free port. */
 
 import type { Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { FastifyInstance } from "fastify";
 import { formatAddress, parseAddress } from "./address.ts";
 
-/** Starts a fastify server; returns the address in use. */
+/** Starts a fastify server; returns the address that it listens on. */
 export async function listenHttp(
   http: FastifyInstance,
   address: string,
@@ -14,7 +14,7 @@
   return boundAddress(http.server as Server);
 }
 
-/** Address on which a server listens. */
+/** Returns the address on which a server listens. */
 export function boundAddress(server: Server): string {
   const { address, port } = server.address() as AddressInfo;
   return formatAddress({ host: address, port });
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,24 +1,24 @@
-/** Logs: one JSON line for each change of state, by roarr. */
+/** Logs each change of state as one JSON line, using roarr. */
 
 import "./enable_logs.ts";
 import process from "node:process";
 import type { LineSink } from "./line_writer.ts";
 import { type Logger as RoarrLogger, Roarr } from "roarr";
 
-/** Values that explain a log line. */
+/** Structured fields of a log line. */
 export type LogContext = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Where parts of the program report changes of state. */
+/** Logs changes of state. */
 export interface Logger {
-  /** A change that operators may want to know of. */
+  /** Logs a change that may interest operators. */
   info(message: string, context?: LogContext): void;
-  /** A change that operators may have to act on. */
+  /** Logs a change that may require action by operators. */
   warn(message: string, context?: LogContext): void;
 }
 
-/** Writes JSON lines to standard error, or to the sink that is given. */
+/** Writes JSON lines to standard error or to the given sink. */
 export class ProcessLogger implements Logger {
   readonly #roarr: RoarrLogger;
 
@@ -40,7 +40,7 @@
   write: (line) => void process.stderr.write(`${line}\n`),
 };
 
-/** Keeps quiet. */
+/** Discards all messages. */
 export class SilentLogger implements Logger {
   info(): void {}
   warn(): void {}
--- a/src/runtime/next_turn.ts
+++ b/src/runtime/next_turn.ts
@@ -1,8 +1,8 @@
-/** Lets what has arrived meanwhile be read before going on. */
+/** Lets the event loop read received data before the caller continues. */
 
 /**
- * Resolves once the event loop has looked at all connections again. The first callback runs
- * in the turn that called this, the second after the next look.
+ * Resolves once the event loop has polled all connections again. The first `setImmediate` callback
+ * runs in the current iteration of the loop, the second one after the next poll.
  */
 export function nextTurn(): Promise<void> {
   return new Promise((resolve) =>
--- a/src/runtime/pause.ts
+++ b/src/runtime/pause.ts
@@ -1,6 +1,4 @@
-/** Waiting. */
-
-/** Resolves after so many milliseconds. */
+/** Resolves after `ms` milliseconds. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/src/runtime/repeated_task.ts
+++ b/src/runtime/repeated_task.ts
@@ -1,45 +1,45 @@
-/** Runs a task again and again, never twice at once. */
+/** Runs a task periodically, never concurrently with itself. */
 
 import { performance } from "node:perf_hooks";
 
-/** A task and the time between its starts, in milliseconds. */
+/** A task and the interval between the starts of its runs. */
 export interface RepeatedTaskOptions {
   readonly intervalMs: number;
   readonly run: () => Promise<void>;
 }
 
-/** Runs at once when started, then at each interval after the last run has ended. */
+/** Runs immediately when started, then at the interval, but never before the previous run ended. */
 export class RepeatedTask {
   readonly #options: RepeatedTaskOptions;
   #timer: NodeJS.Timeout | undefined;
   #stopped = true;
-  #starts = 0;
+  #loopCount = 0;
 
   constructor(options: RepeatedTaskOptions) {
     this.#options = options;
   }
 
-  /** Starts; does nothing when it runs already. */
+  /** Starts the task; does nothing if it is already started. */
   start(): void {
     if (!this.#stopped) return;
     this.#stopped = false;
-    this.#starts += 1;
-    void this.#loop(this.#starts);
+    this.#loopCount += 1;
+    void this.#loop(this.#loopCount);
   }
 
-  /** Stops; a run that has begun goes on to its end. */
+  /** Stops the task; a run in progress completes. */
   stop(): void {
     this.#stopped = true;
     clearTimeout(this.#timer);
   }
 
-  async #loop(start: number): Promise<void> {
+  async #loop(loop: number): Promise<void> {
     const startedMs = performance.now();
     await this.#options.run();
-    // A loop that was stopped and started again during a run has a successor.
-    if (this.#stopped || start !== this.#starts) return;
-    const tookMs = performance.now() - startedMs;
-    const waitMs = Math.max(0, this.#options.intervalMs - tookMs);
-    this.#timer = setTimeout(() => void this.#loop(start), waitMs);
+    // If the task was stopped and started again during the run, a newer loop has replaced this one.
+    if (this.#stopped || loop !== this.#loopCount) return;
+    const durationMs = performance.now() - startedMs;
+    const waitMs = Math.max(0, this.#options.intervalMs - durationMs);
+    this.#timer = setTimeout(() => void this.#loop(loop), waitMs);
   }
 }
--- a/src/runtime/repeated_task_test.ts
+++ b/src/runtime/repeated_task_test.ts
@@ -3,33 +3,33 @@
 import { pause } from "./pause.ts";
 import { RepeatedTask } from "./repeated_task.ts";
 
-/** Lets all that is ready run, and some rounds of a task without a pause. */
-const A_MOMENT_MS = 20;
+/** Long enough for pending callbacks and for several runs of a task with interval 0. */
+const SETTLE_MS = 20;
 
 describe("repeated task", () => {
-  it("should run once at a time after it was stopped and started during a run", async () => {
+  it("should not run concurrently after a stop and start during a run", async () => {
     let running = 0;
-    let most = 0;
+    let maxRunning = 0;
     const task = new RepeatedTask({
       intervalMs: 0,
       run: async () => {
         running += 1;
-        most = Math.max(most, running);
+        maxRunning = Math.max(maxRunning, running);
         await pause(1);
         running -= 1;
       },
     });
     task.start();
-    await pause(A_MOMENT_MS);
+    await pause(SETTLE_MS);
     task.stop();
-    await pause(A_MOMENT_MS);
+    await pause(SETTLE_MS);
     task.start();
-    await pause(A_MOMENT_MS);
+    await pause(SETTLE_MS);
     task.stop();
-    assert.equal(most, 1);
+    assert.equal(maxRunning, 1);
   });
 
-  it("should not go on by a loop that was stopped and started again", async () => {
+  it("should not continue the old loop after a stop and start", async () => {
     let runs = 0;
     let release: () => void = () => {};
     const task = new RepeatedTask({
@@ -40,12 +40,12 @@
       },
     });
     task.start();
-    const first = release;
+    const releaseFirst = release;
     task.stop();
     task.start();
-    first();
+    releaseFirst();
     release();
-    await pause(A_MOMENT_MS);
+    await pause(SETTLE_MS);
     assert.equal(runs, 2);
     task.stop();
   });
--- a/src/runtime/socket_meter.ts
+++ b/src/runtime/socket_meter.ts
@@ -1,21 +1,21 @@
-/** Counts the bytes of a kind of connection. */
+/** Counts the bytes that are transferred over a group of connections. */
 
 import type { Socket } from "node:net";
 import { Agent, buildConnector } from "undici";
 
-/** Bytes since the start. */
+/** Numbers of bytes since the start. */
 export interface Traffic {
   readonly received: number;
   readonly sent: number;
 }
 
-/** Adds up sockets that are open and that have been closed. */
+/** Sums the traffic of open and closed sockets. */
 export class SocketMeter {
   readonly #open = new Set<Socket>();
   #received = 0;
   #sent = 0;
 
-  /** Counts a socket from now on. */
+  /** Includes a socket in the total. */
   track(socket: Socket): void {
     if (this.#open.has(socket)) return;
     this.#open.add(socket);
@@ -26,7 +26,7 @@
     });
   }
 
-  /** Bytes so far. */
+  /** Total traffic so far. */
   total(): Traffic {
     let received = this.#received;
     let sent = this.#sent;
@@ -38,7 +38,7 @@
   }
 }
 
-/** Returns an HTTP client whose connections are counted. */
+/** Returns an HTTP agent whose connections are counted by `meter`. */
 export function meteredAgent(
   meter: SocketMeter,
   options: Agent.Options,
--- a/src/runtime/suspend_aware_clock.ts
+++ b/src/runtime/suspend_aware_clock.ts
@@ -1,39 +1,40 @@
-/** A clock for ages that a promise rests on, also where the VM is suspended meanwhile. */
+/** A monotonic clock that also counts the time for which the VM was suspended. */
 
 import type { Clock } from "./clock.ts";
 
 /**
- * The time of day running ahead of the steady clock by less than this between two readings is
- * drift, and is left to add up.
+ * Smaller gains of the wall clock over the monotonic clock are drift. They accumulate and count as
+ * a jump only once their sum reaches this value.
  */
-const JUMP_MS = 200;
+const MIN_JUMP_MS = 200;
 
 /**
- * The steady clock does not count the time for which a VM is suspended; what was confirmed before
- * looks as fresh afterwards as if that time had not passed. The time of day counts it, but may also
- * be set. So a jump ahead of the time of day counts as time that has passed: where it was only
- * set, ages are too long until the next news, which costs a confirmation and never trusts too
- * much. A jump back changes nothing. Node.js reads no clock that would tell the two apart in
- * parts of a second.
+ * Measures the age of data that must not be used when it is too old. The monotonic clock does not
+ * count the time for which a VM is suspended, so data confirmed before a suspension would look
+ * too fresh afterwards. The wall clock counts that time but may also be set. Therefore a forward
+ * jump of the wall clock counts as elapsed time. If the clock was only set, ages are too long until
+ * the next update, which costs a confirmation but never makes stale data look fresh. A backward
+ * jump changes nothing. Node.js offers no clock that distinguishes the two with subsecond
+ * resolution.
  */
 export class SuspendAwareClock {
   readonly #clock: Clock;
-  /** Time of day less the steady clock, when last read. */
-  #aheadMs: number;
-  #lostMs = 0;
+  /** Wall clock minus monotonic clock at the reference reading. */
+  #referenceOffsetMs: number;
+  #suspendedMs = 0;
 
   constructor({ clock }: { clock: Clock }) {
     this.#clock = clock;
-    this.#aheadMs = clock.wallMs() - clock.monotonicMs();
+    this.#referenceOffsetMs = clock.wallMs() - clock.monotonicMs();
   }
 
-  /** Milliseconds since some start; never goes back, and never slower than true time. */
+  /** Milliseconds since an arbitrary origin; never decreases or runs slower than real time. */
   nowMs(): number {
-    const steadyMs = this.#clock.monotonicMs();
-    const aheadMs = this.#clock.wallMs() - steadyMs;
-    const jumpMs = aheadMs - this.#aheadMs;
-    if (jumpMs >= JUMP_MS) this.#lostMs += jumpMs;
-    if (jumpMs >= JUMP_MS || jumpMs < 0) this.#aheadMs = aheadMs;
-    return steadyMs + this.#lostMs;
+    const monotonicMs = this.#clock.monotonicMs();
+    const offsetMs = this.#clock.wallMs() - monotonicMs;
+    const jumpMs = offsetMs - this.#referenceOffsetMs;
+    if (jumpMs >= MIN_JUMP_MS) this.#suspendedMs += jumpMs;
+    if (jumpMs >= MIN_JUMP_MS || jumpMs < 0) this.#referenceOffsetMs = offsetMs;
+    return monotonicMs + this.#suspendedMs;
   }
 }
--- a/src/runtime/suspend_aware_clock_test.ts
+++ b/src/runtime/suspend_aware_clock_test.ts
@@ -2,55 +2,55 @@
 import { beforeEach, describe, it } from "node:test";
 import { SuspendAwareClock } from "./suspend_aware_clock.ts";
 
-let steadyMs: number;
+let monotonicMs: number;
 let wallMs: number;
 let clock: SuspendAwareClock;
 
 beforeEach(() => {
-  steadyMs = 500;
+  monotonicMs = 500;
   wallMs = 1_700_000_000_000;
   clock = new SuspendAwareClock({
-    clock: { monotonicMs: () => steadyMs, wallMs: () => wallMs },
+    clock: { monotonicMs: () => monotonicMs, wallMs: () => wallMs },
   });
 });
 
-function pass(ms: number): void {
-  steadyMs += ms;
+function advance(ms: number): void {
+  monotonicMs += ms;
   wallMs += ms;
 }
 
-function ageOf(change: () => void): number {
+function ageAfter(change: () => void): number {
   const fromMs = clock.nowMs();
   change();
   return clock.nowMs() - fromMs;
 }
 
-describe("clock for ages that a promise rests on", () => {
-  it("should pass as the steady clock does", () => {
-    assert.equal(ageOf(() => pass(1_500)), 1_500);
+describe("clock that counts suspensions", () => {
+  it("should advance with the monotonic clock", () => {
+    assert.equal(ageAfter(() => advance(1_500)), 1_500);
   });
 
   it("should count the time for which the VM was suspended", () => {
-    const age = ageOf(() => {
-      pass(100);
+    const age = ageAfter(() => {
+      advance(100);
       wallMs += 6_000;
-      pass(50);
+      advance(50);
     });
     assert.equal(age, 6_150);
   });
 
-  it("should never make an age shorter, however the time of day is set", () => {
-    assert.equal(ageOf(() => wallMs -= 2_000), 0);
-    assert.equal(ageOf(() => pass(300)), 300);
-    // And back: too long by that much, once.
-    assert.equal(ageOf(() => wallMs += 2_000), 2_000);
-    assert.equal(ageOf(() => pass(300)), 300);
+  it("should never shorten an age, however the wall clock is set", () => {
+    assert.equal(ageAfter(() => wallMs -= 2_000), 0);
+    assert.equal(ageAfter(() => advance(300)), 300);
+    // When the clock is set forward again, the age is too long by that amount, once.
+    assert.equal(ageAfter(() => wallMs += 2_000), 2_000);
+    assert.equal(ageAfter(() => advance(300)), 300);
   });
 
-  it("should let small drifts of the time of day add up", () => {
-    const age = ageOf(() => {
+  it("should accumulate small drifts of the wall clock", () => {
+    const age = ageAfter(() => {
       for (let n = 0; n < 30; n++) {
-        pass(1_000);
+        advance(1_000);
         wallMs += 10;
         clock.nowMs();
       }
--- a/src/runtime/with_deadline.ts
+++ b/src/runtime/with_deadline.ts
@@ -1,14 +1,14 @@
-/** Runs work under a deadline of its own and closes it afterwards. */
+/** Runs work with a deadline of its own. */
 
 import { Deadline } from "./deadline.ts";
 
-/** How long the work may take, and what else ends it. */
+/** Time limit of the work, and a signal that cancels it earlier. */
 export interface DeadlineInput {
   readonly limitMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** Returns what `work` returns; `work` gives up when its deadline's signal is raised. */
+/** Returns the result of `work`, which must stop when the signal of its deadline is aborted. */
 export async function withDeadline<T>(
   { limitMs, signal }: DeadlineInput,
   work: (deadline: Deadline) => Promise<T>,
