--- a/src/backends/http_model_servers.ts
+++ b/src/backends/http_model_servers.ts
@@ -10,9 +10,9 @@
 import { type BackendError, toBackendError } from "./backend_error.ts";
 import { readChatStream } from "./chat_stream_reader.ts";
 import type {
-  ChatResponse,
   ChatStream,
   ModelCall,
+  ModelResponse,
   ModelServers,
   ReportedLoad,
 } from "./model_servers.ts";
@@ -29,7 +29,7 @@
     this.#dispatcher = dispatcher;
   }
 
-  async chat(call: ModelCall): Promise<Result<ChatResponse, BackendError>> {
+  async chat(call: ModelCall): Promise<Result<ModelResponse, BackendError>> {
     try {
       const res = await this.#post(call);
       const text = await res.body.text();
@@ -113,7 +113,7 @@
 function parseChatResponse(
   text: string,
   requestId: RequestId,
-): Result<ChatResponse, BackendError> {
+): Result<ModelResponse, BackendError> {
   let body: unknown;
   try {
     body = JSON.parse(text);
--- a/src/backends/model_servers.ts
+++ b/src/backends/model_servers.ts
@@ -18,7 +18,7 @@
 }
 
 /** A complete response with the text that it was parsed from. */
-export interface ChatResponse {
+export interface ModelResponse {
   readonly text: string;
   readonly answer: ChatAnswer;
 }
@@ -42,7 +42,7 @@
 
 /** Client of model servers. */
 export interface ModelServers {
-  chat(call: ModelCall): Promise<Result<ChatResponse, BackendError>>;
+  chat(call: ModelCall): Promise<Result<ModelResponse, BackendError>>;
   stream(call: ModelCall): Promise<Result<ChatStream, BackendError>>;
   /** Requests that the server stops a request whose response is no longer needed. */
   cancel(server: BackendServer, requestId: RequestId): void;
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -1,8 +1,8 @@
 /** Answers chat requests: goes through a plan until an answer is good enough. */
 
 import type {
-  ChatResponse,
   ChatStream,
+  ModelResponse,
   ModelServers,
 } from "../backends/model_servers.ts";
 import { isConfidentAnswer } from "../core/cascade/answer_confidence.ts";
@@ -76,7 +76,7 @@
   ): Promise<Result<ServedAnswer, RequestError>> {
     const plan = this.#deps.backendSelector.plan(ctx, req.model);
     if (!plan.ok) return plan;
-    let poor: Dispatched<ChatResponse> | undefined;
+    let poor: Dispatched<ModelResponse> | undefined;
     let lastError: RequestError | undefined;
     for (const step of plan.value) {
       const tried = await this.#deps.modelDispatcher.dispatch(
@@ -226,7 +226,7 @@
     return true;
   }
 
-  #pass(dispatched: Dispatched<ChatResponse>, req: ChatRequest): ServedAnswer {
+  #pass(dispatched: Dispatched<ModelResponse>, req: ChatRequest): ServedAnswer {
     const { target, answer } = dispatched;
     const labels = { model: target.step.model.id, version: target.version.id };
     this.#deps.entryMetrics.answers.inc(labels);
@@ -252,7 +252,7 @@
 
 /** Takes out log-probabilities that the caller did not ask for. */
 function servedAnswer(
-  { target, answer }: Dispatched<ChatResponse>,
+  { target, answer }: Dispatched<ModelResponse>,
   req: ChatRequest,
 ): ServedAnswer {
   if (target.step.escalation === undefined || req.logprobs === true) {
