--- a/src/backends/http_model_servers.ts
+++ b/src/backends/http_model_servers.ts
@@ -1,4 +1,4 @@
-/** Model servers over HTTP, by the usual chat API. */
+/** HTTP client of model servers with the `/v1/chat/completions` API. */
 
 import { type Dispatcher, request } from "undici";
 import type { BackendServer } from "../core/config/configuration.ts";
@@ -10,21 +10,21 @@
   loadReportSchema,
 } from "../protocol/chat_schema.ts";
 import { withDeadline } from "../runtime/with_deadline.ts";
-import { type BackendError, backendErrorOf } from "./backend_error.ts";
+import { type BackendError, toBackendError } from "./backend_error.ts";
 import { readChatStream } from "./chat_stream_reader.ts";
 import type {
   ChatStream,
   ModelCall,
+  ModelResponse,
   ModelServers,
   ReportedLoad,
-  WholeAnswer,
 } from "./model_servers.ts";
 
 const CONTROL_TIMEOUT_MS = 1_000;
-/** Part of a server's error text that is kept. */
-const REASON_LENGTH = 200;
+/** Length to which a server's error text is truncated. */
+const MAX_REASON_CHARS = 200;
 
-/** Client of model servers; one pool of connections for each. */
+/** Uses one connection pool per model server. */
 export class HttpModelServers implements ModelServers {
   readonly #dispatcher: Dispatcher;
 
@@ -32,14 +32,14 @@
     this.#dispatcher = dispatcher;
   }
 
-  async chat(call: ModelCall): Promise<Result<WholeAnswer, BackendError>> {
+  async chat(call: ModelCall): Promise<Result<ModelResponse, BackendError>> {
     try {
       const res = await this.#post(call);
       const text = await res.body.text();
-      if (res.statusCode !== 200) return fail(rejected(res, text));
-      return parseWhole(text, call.requestId);
+      if (res.statusCode !== 200) return fail(toRejection(res, text));
+      return parseChatResponse(text, call.requestId);
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
@@ -47,17 +47,17 @@
     try {
       const res = await this.#post(call);
       if (res.statusCode !== 200) {
-        return fail(rejected(res, await res.body.text()));
+        return fail(toRejection(res, await res.body.text()));
       }
       return ok(readChatStream(res.body, call.requestId));
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
   cancel(server: BackendServer, requestId: RequestId): void {
     const body = JSON.stringify({ request_id: requestId });
-    // A lost cancel costs some tokens only; nobody waits for the answer.
+    // Errors are ignored: a lost cancellation only costs some generated tokens.
     this.#control(server, { path: "/v1/cancel", body }).catch(() => {});
   }
 
@@ -70,10 +70,10 @@
       if (parsed.success) return ok(parsed.data);
       return fail({
         tag: "wrong_answer",
-        reason: "load report of an unknown form",
+        reason: "load report does not match its schema",
       });
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Returns the text of the answer. */
+  /** Sends a control request; returns the text of the response. */
   #control(
     server: BackendServer,
     { path, body }: { path: string; body?: string },
@@ -113,31 +113,34 @@
   }
 }
 
-function parseWhole(
+function parseChatResponse(
   text: string,
   requestId: RequestId,
-): Result<WholeAnswer, BackendError> {
+): Result<ModelResponse, BackendError> {
   let body: unknown;
   try {
     body = JSON.parse(text);
   } catch {
-    return fail({ tag: "wrong_answer", reason: "answer is not JSON" });
+    return fail({ tag: "wrong_answer", reason: "response is not JSON" });
   }
   const parsed = chatResponseSchema.safeParse(body);
   if (!parsed.success) {
-    return fail({ tag: "wrong_answer", reason: "answer of an unknown form" });
+    return fail({
+      tag: "wrong_answer",
+      reason: "response does not match its schema",
+    });
   }
   if (parsed.data.id !== requestId) {
-    return fail({ tag: "wrong_answer", reason: "answer to another request" });
+    return fail({ tag: "wrong_answer", reason: "response to another request" });
   }
   return ok({ text, answer: parsed.data });
 }
 
-function rejected(
+function toRejection(
   { statusCode: status, headers }: Dispatcher.ResponseData,
   text: string,
 ): BackendError {
   const { restMs } = decodeServerNotice(status, headers);
-  const reason = text.slice(0, REASON_LENGTH);
+  const reason = text.slice(0, MAX_REASON_CHARS);
   return { tag: "rejected", status, reason, restMs };
 }
--- a/src/backends/http_plain_services.ts
+++ b/src/backends/http_plain_services.ts
@@ -1,17 +1,17 @@
-/** Plain services over HTTP. */
+/** HTTP client of plain services. */
 
 import { type Dispatcher, request } from "undici";
 import { fail, ok, type Result } from "../core/result.ts";
 import { decodeServerNotice } from "../platform/server_notice_wire.ts";
-import { type BackendError, backendErrorOf } from "./backend_error.ts";
+import { type BackendError, toBackendError } from "./backend_error.ts";
 import type {
   PlainServices,
-  ServiceAnswer,
   ServiceCall,
+  ServiceResponse,
 } from "./plain_services.ts";
 
-/** Headers that belong to one connection and are not passed on. */
-const HOP_BY_HOP = new Set([
+/** Headers that apply to a single connection and are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "content-length",
   "keep-alive",
@@ -23,7 +23,7 @@
   "upgrade",
 ]);
 
-/** Client of plain services. */
+/** Forwards responses without their hop-by-hop headers. */
 export class HttpPlainServices implements PlainServices {
   readonly #dispatcher: Dispatcher;
 
@@ -31,7 +31,9 @@
     this.#dispatcher = dispatcher;
   }
 
-  async call(call: ServiceCall): Promise<Result<ServiceAnswer, BackendError>> {
+  async call(
+    call: ServiceCall,
+  ): Promise<Result<ServiceResponse, BackendError>> {
     try {
       const res = await request(`${call.server.url}${call.path}`, {
         method: call.method as Dispatcher.HttpMethod,
@@ -45,22 +47,22 @@
       const body = new Uint8Array(await res.body.arrayBuffer());
       return ok({
         status: res.statusCode,
-        headers: passedOn(res.headers),
+        headers: endToEndHeaders(res.headers),
         body,
         restMs: decodeServerNotice(res.statusCode, res.headers).restMs,
       });
     } catch (err) {
-      return fail(backendErrorOf(err));
+      return fail(toBackendError(err));
     }
   }
 }
 
-function passedOn(
+function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || HOP_BY_HOP.has(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
     kept[name] = Array.isArray(value) ? value.join(", ") : value;
   }
   return kept;
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -2,8 +2,8 @@
 
 import type {
   ChatStream,
+  ModelResponse,
   ModelServers,
-  WholeAnswer,
 } from "../backends/model_servers.ts";
 import { isConfidentAnswer } from "../core/cascade/answer_confidence.ts";
 import type { CascadeStep } from "../core/cascade/cascade_plan.ts";
@@ -79,7 +79,7 @@
   ): Promise<Result<ServedAnswer, RequestError>> {
     const plan = this.#deps.backendSelector.plan(ctx, req.model);
     if (!plan.ok) return plan;
-    let poor: Dispatched<WholeAnswer> | undefined;
+    let poor: Dispatched<ModelResponse> | undefined;
     let lastError: RequestError | undefined;
     for (const step of plan.value) {
       const tried = await this.#deps.modelDispatcher.dispatch(
@@ -229,7 +229,7 @@
     return true;
   }
 
-  #pass(dispatched: Dispatched<WholeAnswer>, req: ChatRequest): ServedAnswer {
+  #pass(dispatched: Dispatched<ModelResponse>, req: ChatRequest): ServedAnswer {
     const { target, answer } = dispatched;
     const labels = { model: target.step.model.id, version: target.version.id };
     this.#deps.entryMetrics.answers.inc(labels);
@@ -255,7 +255,7 @@
 
 /** Takes out log-probabilities that the caller did not ask for. */
 function servedAnswer(
-  { target, answer }: Dispatched<WholeAnswer>,
+  { target, answer }: Dispatched<ModelResponse>,
   req: ChatRequest,
 ): ServedAnswer {
   if (target.step.escalation === undefined || req.logprobs === true) {
--- a/src/fleet/digest_exchanger.ts
+++ b/src/fleet/digest_exchanger.ts
@@ -7,7 +7,7 @@
 import { digestResponseSchema } from "../protocol/digest_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { RepeatedTask } from "../runtime/repeated_task.ts";
 import type { CrashRegistry } from "../store/crash_registry.ts";
 import type { VmRegistry } from "../store/vm_registry.ts";
@@ -67,7 +67,7 @@
   readonly crashGossip: CrashGossip;
   readonly fleetSize: FleetSize;
   readonly clock: Clock;
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
   /** Addresses of VMs that may be running, from the settings and the store. */
   readonly seedAddresses: () => readonly string[];
@@ -244,7 +244,7 @@
   async #exchange(address: string): Promise<QueryOutcome> {
     const { digestService } = this.#deps;
     const request = digestService.createRequest();
-    const askedMs = this.#deps.trustClock.nowMs();
+    const askedMs = this.#deps.suspendAwareClock.nowMs();
     const answer = await this.#deps.vmClients.call(address, {
       timeoutMs: TIMEOUT_MS,
       invoke: async (client, signal) =>
--- a/src/fleet/digest_service.ts
+++ b/src/fleet/digest_service.ts
@@ -237,7 +237,7 @@
     this.#deps.crashGossip.receive(digest.crashes, digest.self.id);
     this.#deps.limitGossip.receive(digest.limits, digest.self.id);
     for (const life of digest.leaving) this.#deps.serverFollower.leaves(life);
-    this.#memberLog.note(
+    this.#memberLog.add(
       memberTable.merge([digest.self, ...digest.news], nowMs),
     );
     this.#recordSessions(digest, nowMs);
@@ -289,9 +289,9 @@
 
 function createMemberLog(logger: Logger): BurstLog<Member> {
   return new BurstLog({
-    one: ({ id, state, incarnation }) =>
+    logOne: ({ id, state, incarnation }) =>
       logger.info("VM changed state", { peer: id, state, incarnation }),
-    many: (members) =>
+    logMany: (members) =>
       logger.info("Many VMs changed state", {
         changes: members.length,
         news: members.map(({ id, state }) => `${id} ${state}`).join(","),
--- a/src/fleet/limit_gossip.ts
+++ b/src/fleet/limit_gossip.ts
@@ -37,8 +37,8 @@
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#log = new BurstLog({
-      one: (received) => this.#logOne(received),
-      many: (received) => this.#logMany(received),
+      logOne: (received) => this.#logOne(received),
+      logMany: (received) => this.#logMany(received),
     });
   }
 
@@ -65,7 +65,7 @@
     for (const { instance, bornMs, limitPerS, ageMs } of limits) {
       const life = { instance, bornMs };
       const notice = { life, limitPerS, atMs: nowMs - ageMs };
-      if (serverLimits.receive(notice)) this.#log.note([{ notice, from }]);
+      if (serverLimits.receive(notice)) this.#log.add([{ notice, from }]);
     }
   }
 
--- a/src/fleet/store_subscriber.ts
+++ b/src/fleet/store_subscriber.ts
@@ -5,7 +5,7 @@
 import { feedResponseSchema } from "../protocol/store_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { pause } from "../runtime/pause.ts";
 import type { RoutingFollower } from "../store/routing_follower.ts";
 import type { StoreSync } from "../store/store_sync.ts";
@@ -35,7 +35,7 @@
   readonly routingFollower: RoutingFollower;
   readonly vmClients: VmClients;
   readonly clock: Clock;
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
 }
 
@@ -84,10 +84,11 @@
 
   /** Sends one feed request; returns whether the reader answered. */
   async #poll({ id, peers }: Member, waitMs: number): Promise<boolean> {
-    const { storeSync, relayRole, vmClients, clock, trustClock } = this.#deps;
+    const { storeSync, relayRole, vmClients, clock, suspendAwareClock } =
+      this.#deps;
     const request = { known: storeSync.known(), waitMs };
     const askedMs = clock.monotonicMs();
-    const askedTrustMs = trustClock.nowMs();
+    const askedTrustMs = suspendAwareClock.nowMs();
     const answer = await vmClients.call(peers, {
       timeoutMs: waitMs + RESPONSE_GRACE_MS,
       invoke: async (client, signal) =>
--- a/src/store/routing_follower.ts
+++ b/src/store/routing_follower.ts
@@ -17,7 +17,7 @@
 import type { DeploymentBounds } from "../platform/vm_settings_wire.ts";
 import type { Clock } from "../runtime/clock.ts";
 import type { LogContext, Logger } from "../runtime/logger.ts";
-import type { TrustClock } from "../runtime/trust_clock.ts";
+import type { SuspendAwareClock } from "../runtime/suspend_aware_clock.ts";
 import { KindFollower } from "./kind_follower.ts";
 import type { KindListener } from "./kind_listener.ts";
 import { readsStore, retryDelayMs, type StoreAccess } from "./store_access.ts";
@@ -56,7 +56,7 @@
   readonly bounds: DeploymentBounds;
   readonly clock: Clock;
   /** Clock for the age of confirmations, which must include time for which the VM was suspended. */
-  readonly trustClock: TrustClock;
+  readonly suspendAwareClock: SuspendAwareClock;
   readonly logger: Logger;
   readonly chance: () => number;
 }
@@ -82,7 +82,7 @@
     this.follower = new KindFollower(deps, {
       kind: CONFIGURATION_KIND,
       listener: this,
-      timestampMs: () => deps.trustClock.nowMs(),
+      timestampMs: () => deps.suspendAwareClock.nowMs(),
     });
   }
 
@@ -93,7 +93,7 @@
 
   /** Time since the start of the last read that showed that no later configuration exists. */
   confirmedAgeMs(): number {
-    return this.#deps.trustClock.nowMs() - this.#confirmedAtMs;
+    return this.#deps.suspendAwareClock.nowMs() - this.#confirmedAtMs;
   }
 
   /** Registers a listener for new configurations in force. */
@@ -197,9 +197,9 @@
   }
 
   async #confirm(): Promise<void> {
-    const { objectStore, storeHealth, clock, trustClock } = this.#deps;
+    const { objectStore, storeHealth, clock, suspendAwareClock } = this.#deps;
     const startedMs = clock.monotonicMs();
-    const timestampMs = trustClock.nowMs();
+    const timestampMs = suspendAwareClock.nowMs();
     this.#reading = true;
     // A list costs as much as a read of its single object and also returns the store's revision.
     const read = await objectStore.list(CONFIGURATION_KIND, {
--- a/src/store/server_follower.ts
+++ b/src/store/server_follower.ts
@@ -46,12 +46,12 @@
   readonly follower: KindFollower;
   readonly #listeners: RemovalListener[] = [];
   readonly #changeLog = new BurstLog<DirectoryChange>({
-    one: (change) => this.#logOne(change),
-    many: (changes) => this.#logMany(changes),
+    logOne: (change) => this.#logOne(change),
+    logMany: (changes) => this.#logMany(changes),
   });
   readonly #coldLog = new BurstLog<ServerRecord>({
-    one: (server) => this.#logCold([server]),
-    many: (servers) => this.#logCold(servers),
+    logOne: (server) => this.#logCold([server]),
+    logMany: (servers) => this.#logCold(servers),
   });
   /** Servers whose current entries cannot be decoded. */
   readonly #undecodable = new Set<InstanceId>();
@@ -137,7 +137,7 @@
     const { instance, coldForMs: leftMs } = record;
     const nowMs = clock.monotonicMs();
     if (!coldServers.markCold(instance, { leftMs, nowMs })) return;
-    this.#coldLog.note([record]);
+    this.#coldLog.add([record]);
   }
 
   #expiryContext() {
@@ -164,7 +164,7 @@
   }
 
   #report(changes: readonly DirectoryChange[]): void {
-    this.#changeLog.note(changes);
+    this.#changeLog.add(changes);
     for (const change of changes) {
       if (change.tag !== "removed") continue;
       for (const listener of this.#listeners) listener(change.server);
