--- a/src/configuration/acceptance_check.ts
+++ b/src/configuration/acceptance_check.ts
@@ -1,4 +1,4 @@
-/** Tells when enough entry VMs hold a revision for it to outlast any outage of the platform. */
+/** Checks whether a revision is held widely enough to survive a platform outage. */
 
 import {
   HOLDER_REPORT_PREFIX,
@@ -10,11 +10,11 @@
 import type { Platform, PlatformError } from "../platform/platform.ts";
 import { holderReportSchema } from "../protocol/stored_schema.ts";
 
-/** Reads the reports of entry VMs. To be made once the head with the revision is written. */
+/** Checks the reports of entry VMs. Create it only after the head with the revision is written. */
 export class AcceptanceCheck {
   readonly #platform: Platform;
   readonly #revision: Revision;
-  /** Keys of all reports. An entry VM that reports later reads the head after that. */
+  /** Keys of all reports, listed once: an entry VM that reports later reads the head after that. */
   #keys: readonly string[] | undefined;
   readonly #reports = new Map<string, HolderReport>();
 
@@ -23,22 +23,26 @@
     this.#revision = revision;
   }
 
-  /** Returns the reports whose rosters lack a majority that holds the revision. */
-  async behind(): Promise<Result<readonly HolderReport[], PlatformError>> {
+  /** Returns the reports whose roster has no majority that holds the revision. */
+  async reportsWithoutMajority(): Promise<
+    Result<readonly HolderReport[], PlatformError>
+  > {
     if (this.#keys === undefined) {
       const listed = await this.#platform.listKeys(HOLDER_REPORT_PREFIX);
       if (!listed.ok) return listed;
       this.#keys = listed.value;
     }
-    const due = this.#keys.filter((key) => this.#lacksRevision(key));
-    const read = await Promise.all(due.map((key) => this.#read(key)));
+    const keysToRead = this.#keys.filter((key) => this.#needsRead(key));
+    const read = await Promise.all(keysToRead.map((key) => this.#read(key)));
     const failed = read.find((result) => !result.ok);
     if (failed !== undefined && !failed.ok) return failed;
-    const behind = rostersBehind([...this.#reports.values()], this.#revision);
-    return behind.length === 0 ? ok([]) : await this.#stillThere(behind);
+    const lagging = rostersBehind([...this.#reports.values()], this.#revision);
+    return lagging.length === 0
+      ? ok([])
+      : await this.#withoutRemovedVms(lagging);
   }
 
-  #lacksRevision(key: string): boolean {
+  #needsRead(key: string): boolean {
     const report = this.#reports.get(key);
     return report === undefined ||
       report.held.some(({ revision }) => revision < this.#revision);
@@ -49,14 +53,19 @@
     if (!object.ok) return object;
     const report = parseReport(object.value.value);
     if (report === undefined) {
-      return fail({ tag: "uncertain", reason: `${key} is of an unknown form` });
+      return fail({
+        tag: "uncertain",
+        reason: `${key} has an unsupported format`,
+      });
     }
     this.#reports.set(key, report);
     return ok(undefined);
   }
 
-  /** Leaves out entry VMs that the platform has listed and lists no more: they are removed. */
-  async #stillThere(
+  /**
+   * Drops reports of removed entry VMs: those that the platform used to list but no longer does.
+   */
+  async #withoutRemovedVms(
     reports: readonly HolderReport[],
   ): Promise<Result<readonly HolderReport[], PlatformError>> {
     const answer = await this.#platform.listVms({ etag: "" });
--- a/src/configuration/acceptance_check_test.ts
+++ b/src/configuration/acceptance_check_test.ts
@@ -38,7 +38,7 @@
   },
 } as unknown as Platform;
 
-/** Reports of entries that hold a revision, by name, and of which each would ask all. */
+/** Stores one report per entry with the revision it holds; every roster consists of all of them. */
 function report(
   held: Readonly<Record<string, number>>,
   patch: Partial<HolderReport> = {},
@@ -52,54 +52,56 @@
   }
 }
 
-async function namesBehind(): Promise<string[]> {
-  const behind = await new AcceptanceCheck(platform, REVISION).behind();
-  assert.ok(behind.ok);
-  return behind.value.map(({ entry }) => entry);
+async function laggingEntries(): Promise<string[]> {
+  const lagging = await new AcceptanceCheck(platform, REVISION)
+    .reportsWithoutMajority();
+  assert.ok(lagging.ok);
+  return lagging.value.map(({ entry }) => entry);
 }
 
-describe("check that a revision is held", () => {
-  it("should pass where a majority of each roster holds it, and where none reports", async () => {
-    assert.deepEqual(await namesBehind(), []);
+describe("acceptance check", () => {
+  it("should pass if a majority of each roster holds the revision, or if there are no reports", async () => {
+    assert.deepEqual(await laggingEntries(), []);
     report({ a: 7, b: 8, c: 6 });
-    assert.deepEqual(await namesBehind(), []);
+    assert.deepEqual(await laggingEntries(), []);
   });
 
-  it("should name whose roster lacks a majority", async () => {
+  it("should return the reports whose roster lacks a majority", async () => {
     report({ a: 7, b: 6, c: 6 });
-    assert.deepEqual(await namesBehind(), ["a", "b", "c"]);
+    assert.deepEqual(await laggingEntries(), ["a", "b", "c"]);
     report({ d: 7 });
-    assert.deepEqual(await namesBehind(), ["a", "b", "c"]);
+    assert.deepEqual(await laggingEntries(), ["a", "b", "c"]);
   });
 
-  it("should read again what has changed since", async () => {
+  it("should read changed reports again", async () => {
     report({ a: 7, b: 6, c: 6 });
     const check = new AcceptanceCheck(platform, REVISION);
-    await check.behind();
+    await check.reportsWithoutMajority();
     report({ a: 7, b: 7, c: 6 });
-    assert.deepEqual(await check.behind(), ok([]));
+    assert.deepEqual(await check.reportsWithoutMajority(), ok([]));
   });
 
-  it("should not wait for entries that have withdrawn their roster", async () => {
+  it("should ignore reports with a withdrawn roster", async () => {
     report({ a: 6, b: 6 }, { roster: [] });
-    assert.deepEqual(await namesBehind(), []);
+    assert.deepEqual(await laggingEntries(), []);
   });
 
-  it("should not wait for entries that the platform has listed and lists no more", async () => {
+  it("should ignore reports of entries that the platform no longer lists", async () => {
     report({ a: 7, b: 6 }, { listed: true });
     listed = ["a", "b"];
-    assert.deepEqual(await namesBehind(), ["a", "b"]);
+    assert.deepEqual(await laggingEntries(), ["a", "b"]);
     listed = ["b"];
-    assert.deepEqual(await namesBehind(), ["b"]);
+    assert.deepEqual(await laggingEntries(), ["b"]);
     listed = [];
-    assert.deepEqual(await namesBehind(), []);
+    assert.deepEqual(await laggingEntries(), []);
     report({ a: 7, b: 6 }, { listed: false });
-    assert.deepEqual(await namesBehind(), ["a", "b"]);
+    assert.deepEqual(await laggingEntries(), ["a", "b"]);
   });
 
-  it("should pass nothing while a report can't be read", async () => {
+  it("should fail if a report cannot be parsed", async () => {
     reports.set(holderReportKey("a" as EntryId), "{}");
-    const behind = await new AcceptanceCheck(platform, REVISION).behind();
-    assert.equal(behind.ok, false);
+    const lagging = await new AcceptanceCheck(platform, REVISION)
+      .reportsWithoutMajority();
+    assert.equal(lagging.ok, false);
   });
 });
--- a/src/configuration/applier.ts
+++ b/src/configuration/applier.ts
@@ -1,4 +1,7 @@
-/** Applies a configuration as a whole: objects first, then one conditional update. */
+/**
+ * Applies a configuration atomically: writes its objects, then updates the head with one
+ * conditional write.
+ */
 
 import type { Configuration } from "../core/config/configuration.ts";
 import type { HolderReport } from "../core/config/holder_report.ts";
@@ -27,33 +30,33 @@
 import { AcceptanceCheck } from "./acceptance_check.ts";
 import { type HeadRecord, readHead } from "./head_reader.ts";
 
-const RETRY_MS = 200;
-/** Time between looks whether enough entry VMs hold a revision. */
-const HELD_POLL_MS = 100;
+const PLATFORM_RETRY_DELAY_MS = 200;
+/** Interval of checking whether a majority of every roster holds the revision. */
+const MAJORITY_POLL_INTERVAL_MS = 100;
 
-/** How an apply ended. */
+/** Outcome of an apply. */
 export type ApplyOutcome =
-  /** Enough entry VMs hold it: from now on none serves by an earlier one for long. */
+  /** A majority of every roster holds the revision; earlier revisions go out of use shortly. */
   | { readonly tag: "accepted"; readonly revision: Revision }
-  /** The same configuration is in force already. */
+  /** The same configuration was already in force. */
   | { readonly tag: "unchanged"; readonly revision: Revision }
-  /** Another operator was faster; nothing of this apply is in force. */
+  /** Another apply updated the head first; this one had no effect. */
   | {
     readonly tag: "conflict";
     readonly basedOn: Revision;
     readonly current: Revision;
   }
-  /** Platform could not be asked in time, before anything was accepted. */
+  /** The platform did not respond in time; the head was not updated. */
   | { readonly tag: "unavailable"; readonly reason: string }
-  /** Platform may have taken the update, or too few entry VMs were known to hold it in time. */
+  /** The update may have been written, or too few entry VMs reported the revision in time. */
   | { readonly tag: "unknown"; readonly reason: string };
 
-/** What to apply. */
+/** Configuration to apply, and the conditions of the apply. */
 export interface ApplyInput {
   readonly configuration: Configuration;
-  /** Names this apply; the same id given again settles an unknown outcome. */
+  /** Identifies this apply; applying again with the same id resolves an unknown outcome. */
   readonly applyId: string;
-  /** Revision that must be in force; the one found when absent. */
+  /** Revision that must be in force; defaults to the current one. */
   readonly expectedRevision?: Revision;
   readonly deadline: Deadline;
 }
@@ -63,7 +66,7 @@
   readonly clock: Clock;
 }
 
-/** Applies configurations. */
+/** Applies configurations through the platform. */
 export class Applier {
   readonly #deps: Deps;
 
@@ -71,16 +74,19 @@
     this.#deps = deps;
   }
 
-  /** Applies, and settles lost answers as long as the deadline allows. */
+  /** Applies a configuration; resolves lost responses until the deadline. */
   async apply(input: ApplyInput): Promise<ApplyOutcome> {
-    const current = await this.#retry(
+    const current = await this.#retryUntilDeadline(
       input.deadline,
       () => readHead(this.#deps.platform),
     );
     if (!current.ok) return { tag: "unavailable", reason: current.error };
-    const already = acceptedRevision(current.value.head, input.applyId);
-    if (already !== undefined) {
-      return await this.#awaitHeld(already, { tag: "accepted", input });
+    const acceptedAs = acceptedRevision(current.value.head, input.applyId);
+    if (acceptedAs !== undefined) {
+      return await this.#awaitMajorities(acceptedAs, {
+        tag: "accepted",
+        input,
+      });
     }
     const basedOn = current.value.head?.revision ?? NO_REVISION;
     if (
@@ -93,42 +99,45 @@
       };
     }
     const objects = splitConfiguration(input.configuration, sha256);
-    if (isSame(current.value.head, objects)) {
-      return await this.#awaitHeld(basedOn, { tag: "unchanged", input });
+    if (hasSameObjects(current.value.head, objects)) {
+      return await this.#awaitMajorities(basedOn, { tag: "unchanged", input });
     }
     const stored = await this.#storeObjects(objects, {
       head: current.value.head,
       input,
     });
     if (!stored.ok) return { tag: "unavailable", reason: stored.error };
-    return await this.#accept(current.value, { objects, input });
+    return await this.#writeHead(current.value, { objects, input });
   }
 
   async #storeObjects(
     objects: readonly StoredObject[],
     { head, input }: { head: Head | undefined; input: ApplyInput },
   ): Promise<Result<undefined, string>> {
-    const known = new Set(head?.objects.map(({ sha256 }) => sha256));
+    const storedHashes = new Set(head?.objects.map(({ sha256 }) => sha256));
     for (const { ref, text } of objects) {
-      if (known.has(ref.sha256)) continue;
-      const written = await this.#retry(input.deadline, async () => {
-        const put = await this.#deps.platform.put(objectKey(ref.sha256), {
-          value: text,
-          expectedVersion: 0,
-        });
-        // An object is named after its content, so another writer wrote the same.
-        return !put.ok && put.error.tag === "conflict" ? ok(0) : put;
-      });
-      if (!written.ok) return written;
+      if (storedHashes.has(ref.sha256)) continue;
+      const writeResult = await this.#retryUntilDeadline(
+        input.deadline,
+        async () => {
+          const put = await this.#deps.platform.put(objectKey(ref.sha256), {
+            value: text,
+            expectedVersion: 0,
+          });
+          // Objects are keyed by content hash, so a conflicting write stored the same content.
+          return !put.ok && put.error.tag === "conflict" ? ok(0) : put;
+        },
+      );
+      if (!writeResult.ok) return writeResult;
     }
     return ok(undefined);
   }
 
   /**
-   * After a lost answer the same conditional update is sent again: it either takes
-   * effect now, or fails because some update took effect, ours or another's.
+   * After a lost response, the same conditional write is sent again. It either takes effect, or
+   * conflicts because the lost write or another writer's took effect.
    */
-  async #accept(
+  async #writeHead(
     current: HeadRecord,
     { objects, input }: { objects: readonly StoredObject[]; input: ApplyInput },
   ): Promise<ApplyOutcome> {
@@ -142,106 +151,111 @@
         value: JSON.stringify(head),
         expectedVersion: current.version,
       });
-    let uncertain = false;
-    const written = await this.#retry<number | undefined>(
+    let mayBeWritten = false;
+    const writeResult = await this.#retryUntilDeadline<number | undefined>(
       input.deadline,
       async () => {
         const answer = await put();
         if (!answer.ok && answer.error.tag === "conflict") return ok(undefined);
-        uncertain ||= !answer.ok && answer.error.tag === "uncertain";
+        mayBeWritten ||= !answer.ok && answer.error.tag === "uncertain";
         return answer;
       },
     );
-    if (!written.ok) {
+    if (!writeResult.ok) {
       return {
-        tag: uncertain ? "unknown" : "unavailable",
-        reason: written.error,
+        tag: mayBeWritten ? "unknown" : "unavailable",
+        reason: writeResult.error,
       };
     }
-    if (written.value !== undefined) {
-      return await this.#awaitHeld(head.revision, { tag: "accepted", input });
+    if (writeResult.value !== undefined) {
+      return await this.#awaitMajorities(head.revision, {
+        tag: "accepted",
+        input,
+      });
     }
-    return await this.#settle(input, {
+    return await this.#resolveConflict(input, {
       basedOn: current.head?.revision ?? NO_REVISION,
     });
   }
 
-  async #settle(
+  async #resolveConflict(
     input: ApplyInput,
     { basedOn }: { basedOn: Revision },
   ): Promise<ApplyOutcome> {
-    const now = await this.#retry(
+    const latest = await this.#retryUntilDeadline(
       input.deadline,
       () => readHead(this.#deps.platform),
     );
-    if (!now.ok) return { tag: "unknown", reason: now.error };
-    const revision = acceptedRevision(now.value.head, input.applyId);
+    if (!latest.ok) return { tag: "unknown", reason: latest.error };
+    const revision = acceptedRevision(latest.value.head, input.applyId);
     if (revision !== undefined) {
-      return await this.#awaitHeld(revision, { tag: "accepted", input });
+      return await this.#awaitMajorities(revision, { tag: "accepted", input });
     }
     return {
       tag: "conflict",
       basedOn,
-      current: now.value.head?.revision ?? NO_REVISION,
+      current: latest.value.head?.revision ?? NO_REVISION,
     };
   }
 
   /**
-   * Waits until a majority of every roster holds the revision. Entry VMs that lose the platform
-   * at any later moment then learn of it from each other.
+   * Waits until a majority of every roster holds the revision. Entry VMs that lose contact with
+   * the platform later can then receive the revision from each other.
    */
-  async #awaitHeld(
+  async #awaitMajorities(
     revision: Revision,
     { tag, input }: { tag: "accepted" | "unchanged"; input: ApplyInput },
   ): Promise<ApplyOutcome> {
     const { platform } = this.#deps;
     const check = new AcceptanceCheck(platform, revision);
     for (;;) {
-      const behind = await check.behind();
-      if (behind.ok && behind.value.length === 0) return { tag, revision };
-      if (input.deadline.remainingMs() < HELD_POLL_MS) {
-        const reason = behind.ok
-          ? describeBehind(revision, behind.value)
-          : describePlatformError(behind.error);
+      const lagging = await check.reportsWithoutMajority();
+      if (lagging.ok && lagging.value.length === 0) return { tag, revision };
+      if (input.deadline.remainingMs() < MAJORITY_POLL_INTERVAL_MS) {
+        const reason = lagging.ok
+          ? describeMissingMajorities(revision, lagging.value)
+          : describePlatformError(lagging.error);
         return { tag: "unknown", reason };
       }
-      await pause(HELD_POLL_MS);
+      await pause(MAJORITY_POLL_INTERVAL_MS);
     }
   }
 
-  /** Retries a call while the platform is away and there is time. */
-  async #retry<T>(
+  /** Retries a call that the platform did not answer successfully, until the deadline. */
+  async #retryUntilDeadline<T>(
     deadline: Deadline,
     call: () => Promise<Result<T, PlatformError>>,
   ): Promise<Result<T, string>> {
     for (;;) {
       const answer = await call();
       if (answer.ok) return answer;
-      if (deadline.remainingMs() < RETRY_MS) {
+      if (deadline.remainingMs() < PLATFORM_RETRY_DELAY_MS) {
         return fail(describePlatformError(answer.error));
       }
-      await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
+      await new Promise((resolve) =>
+        setTimeout(resolve, PLATFORM_RETRY_DELAY_MS)
+      );
     }
   }
 }
 
-function describeBehind(
+function describeMissingMajorities(
   revision: Revision,
-  behind: readonly HolderReport[],
+  lagging: readonly HolderReport[],
 ): string {
-  const entries = behind.map(({ entry }) => entry).join(", ");
-  return `Revision ${revision} is written, but too few of the entry VMs that ` +
-    `${entries} would ask in an outage have reported it`;
+  const entries = lagging.map(({ entry }) => entry).join(", ");
+  return `Revision ${revision} is written, but not reported by a majority ` +
+    `of the rosters of these entry VMs: ${entries}`;
 }
 
-function isSame(
+function hasSameObjects(
   head: Head | undefined,
   objects: readonly StoredObject[],
 ): boolean {
   if (head === undefined || head.objects.length !== objects.length) {
     return false;
   }
-  return objects.every(({ ref }, at) =>
-    head.objects[at]?.sha256 === ref.sha256
+  return objects.every(({ ref }, index) =>
+    head.objects[index]?.sha256 === ref.sha256
   );
 }
--- a/src/configuration/configuration_loader.ts
+++ b/src/configuration/configuration_loader.ts
@@ -1,4 +1,4 @@
-/** Fetches the objects of a head, from the platform or from another entry VM. */
+/** Loads the objects of a head from the platform or another entry VM. */
 
 import * as z from "zod";
 import type { Section } from "../core/config/configuration.ts";
@@ -20,17 +20,16 @@
 import { ENTRY_SCHEMAS } from "../protocol/configuration_schema.ts";
 import { sha256 } from "../runtime/hashing.ts";
 
-/** Objects fetched at once. */
-const PARALLEL_FETCHES = 8;
+const MAX_PARALLEL_FETCHES = 8;
 
 interface Deps {
   readonly platform: Platform;
-  /** Absent where only the platform can be asked. */
+  /** Absent if objects are fetched from the platform only. */
   readonly peers?: Peers;
   readonly configurationStore: ConfigurationStore;
 }
 
-/** Loads configurations; what is known already is not fetched again. */
+/** Loads configurations; objects already in the store are not fetched again. */
 export class ConfigurationLoader {
   readonly #deps: Deps;
 
@@ -38,7 +37,9 @@
     this.#deps = deps;
   }
 
-  /** Returns the configuration of `head`; `peer` is asked before the platform. */
+  /**
+   * Returns the configuration of `head`; objects are fetched from `peer` first, then the platform.
+   */
   async load(
     head: Head,
     peer?: string,
@@ -50,14 +51,14 @@
       if (known === undefined) missing.push(ref);
       else objects.set(ref.sha256, known);
     }
-    for (let at = 0; at < missing.length; at += PARALLEL_FETCHES) {
-      const some = missing.slice(at, at + PARALLEL_FETCHES);
+    for (let at = 0; at < missing.length; at += MAX_PARALLEL_FETCHES) {
+      const batch = missing.slice(at, at + MAX_PARALLEL_FETCHES);
       const fetched = await Promise.all(
-        some.map((ref) => this.#loadObject(ref, peer)),
+        batch.map((ref) => this.#loadObject(ref, peer)),
       );
       for (const [index, object] of fetched.entries()) {
         if (!object.ok) return object;
-        objects.set((some[index] as ObjectRef).sha256, object.value);
+        objects.set((batch[index] as ObjectRef).sha256, object.value);
       }
     }
     const contents = head.objects.map(({ sha256 }) =>
@@ -67,7 +68,7 @@
     return ok({ head, objects, configuration });
   }
 
-  /** Each object is parsed once, however many revisions hold it. */
+  /** Fetches and parses an object; this happens once, however many revisions contain it. */
   async #loadObject(
     ref: ObjectRef,
     peer: string | undefined,
@@ -91,7 +92,7 @@
     const object = await this.#deps.platform.get(objectKey(hash));
     if (!object.ok) return fail(describePlatformError(object.error));
     if (sha256(object.value.value) !== hash) {
-      return fail(`Object ${hash} has other content`);
+      return fail(`Content of object ${hash} does not match its hash`);
     }
     return ok(object.value.value);
   }
@@ -111,8 +112,12 @@
     const parsed = SECTION_SCHEMAS[section].safeParse(JSON.parse(text));
     if (parsed.success) return ok(parsed.data);
     const issue = parsed.error.issues[0];
-    return fail(`Object of ${section} is not understood: ${issue?.message}`);
+    return fail(`Object in section ${section} is invalid: ${issue?.message}`);
   } catch (err) {
-    return fail(`Object of ${section} is not JSON: ${(err as Error).message}`);
+    return fail(
+      `Object in section ${section} is not valid JSON: ${
+        (err as Error).message
+      }`,
+    );
   }
 }
--- a/src/configuration/freshness_keeper.ts
+++ b/src/configuration/freshness_monitor.ts
@@ -1,4 +1,4 @@
-/** Confirms the configuration in force where no confirmation came lately. */
+/** Renews the confirmation of the configuration in force before it expires. */
 
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import { FRESH_FOR_MS, type Freshness } from "../core/config/freshness.ts";
@@ -13,26 +13,26 @@
 import type { Logger } from "../runtime/logger.ts";
 import { pause } from "../runtime/pause.ts";
 import { RepeatedTask } from "../runtime/repeated_task.ts";
-import type { ConfigurationFollower } from "./configuration_follower.ts";
+import type { HeadFollower } from "./head_follower.ts";
 import type { HolderReporter } from "./holder_reporter.ts";
 
 const CHECK_INTERVAL_MS = 500;
-/** Age of a confirmation above which this entry VM asks for one itself. */
-const ASK_AT_AGE_MS = 0.7 * FRESH_FOR_MS;
-/** The same after the platform gave no answer. */
-const ASK_AT_AGE_AWAY_MS = 0.3 * FRESH_FOR_MS;
-/** Wait for the platform before others are asked; its calls may hang for seconds. */
-const PLATFORM_PATIENCE_MS = 300;
-/** Entry VMs asked in one check where there is no roster. */
-const PEERS_ASKED = 3;
-/** Members of a roster asked in one check, at least. */
-const FEWEST_ASKED = 12;
-/** Checks in which a whole roster is asked once. */
+/** Age of the last confirmation above which this entry VM requests a new one. */
+const REFRESH_AGE_MS = 0.7 * FRESH_FOR_MS;
+/** The same while the platform is unavailable. */
+const REFRESH_AGE_WITHOUT_PLATFORM_MS = 0.3 * FRESH_FOR_MS;
+/** Wait for the platform before peers are polled as well; platform calls can hang for seconds. */
+const PLATFORM_WAIT_MS = 300;
+/** Entry VMs polled per check, from each source of peers, when there is no roster. */
+const PEERS_PER_CHECK = 3;
+/** Minimum number of roster members polled per check. */
+const MIN_MEMBERS_PER_CHECK = 12;
+/** Number of checks in which every roster member is polled once. */
 const CHECKS_PER_ROSTER = 2;
 
 interface Deps {
   readonly configurationStore: ConfigurationStore;
-  readonly configurationFollower: ConfigurationFollower;
+  readonly headFollower: HeadFollower;
   readonly holderReporter: HolderReporter;
   readonly witnessLog: WitnessLog;
   readonly freshness: Freshness;
@@ -44,64 +44,67 @@
   readonly logger: Logger;
 }
 
-/** Asks the platform, a majority of the entry VMs, or others that were confirmed. */
-export class FreshnessKeeper {
+/**
+ * Renews the confirmation through the platform, a majority of each roster, or recently confirmed
+ * peers.
+ */
+export class FreshnessMonitor {
   readonly #deps: Deps;
   readonly #task = new RepeatedTask({
     intervalMs: CHECK_INTERVAL_MS,
     run: () => this.#check(),
   });
   #wasFresh = true;
-  #platformAway = false;
-  #isAskingPlatform = false;
-  /** Members of the roster that were not asked yet in this turn. */
-  #toAsk: EntryId[] = [];
+  #platformUnavailable = false;
+  #isPlatformCallInFlight = false;
+  /** Roster members still to be polled in the current pass. */
+  #pollQueue: EntryId[] = [];
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Starts to look. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to look. */
   stop(): void {
     this.#task.stop();
   }
 
   async #check(): Promise<void> {
     const { freshness, clock } = this.#deps;
-    const askAtMs = this.#platformAway ? ASK_AT_AGE_AWAY_MS : ASK_AT_AGE_MS;
-    if (freshness.ageMs(clock.monotonicMs()) > askAtMs) await this.#ask();
-    this.#note(freshness.isFresh(clock.monotonicMs()));
+    const maxAgeMs = this.#platformUnavailable
+      ? REFRESH_AGE_WITHOUT_PLATFORM_MS
+      : REFRESH_AGE_MS;
+    if (freshness.ageMs(clock.monotonicMs()) > maxAgeMs) await this.#renew();
+    this.#logTransition(freshness.isFresh(clock.monotonicMs()));
   }
 
-  /** Asks the platform, and others as well where it lately gave no answer or takes long to. */
-  async #ask(): Promise<void> {
-    const answer = this.#askPlatform();
-    const answered = this.#platformAway
+  /** Polls the platform, and peers as well if the platform is unavailable or slow. */
+  async #renew(): Promise<void> {
+    const answer = this.#confirmByPlatform();
+    const isConfirmed = this.#platformUnavailable
       ? false
-      : await Promise.race([answer, pause(PLATFORM_PATIENCE_MS)]);
-    if (answered !== true) await this.#askOthers();
+      : await Promise.race([answer, pause(PLATFORM_WAIT_MS)]);
+    if (isConfirmed !== true) await this.#confirmByPeers();
   }
 
-  async #askPlatform(): Promise<boolean> {
-    if (this.#isAskingPlatform) return false;
-    this.#isAskingPlatform = true;
-    const { configurationFollower } = this.#deps;
-    const answered = await configurationFollower.ask("confirm", 0);
-    this.#isAskingPlatform = false;
-    this.#platformAway = !answered;
-    return answered;
+  async #confirmByPlatform(): Promise<boolean> {
+    if (this.#isPlatformCallInFlight) return false;
+    this.#isPlatformCallInFlight = true;
+    const { headFollower } = this.#deps;
+    const isConfirmed = await headFollower.refresh("confirm", 0);
+    this.#isPlatformCallInFlight = false;
+    this.#platformUnavailable = !isConfirmed;
+    return isConfirmed;
   }
 
-  async #askOthers(): Promise<void> {
+  async #confirmByPeers(): Promise<void> {
     const { holderReporter, prober } = this.#deps;
     const { rosters } = holderReporter;
-    if (rosters.length === 0) return await prober.ask(this.#confirmedPeers());
-    await prober.ask(this.#nextOf(new Set(rosters.flat())));
+    if (rosters.length === 0) return await prober.ask(this.#peersToPoll());
+    await prober.ask(this.#nextToPoll(new Set(rosters.flat())));
     this.#confirmByMajority();
   }
 
@@ -121,8 +124,8 @@
     if (atMs !== undefined) freshness.confirm(atMs);
   }
 
-  /** Members of a roster by turns, which bounds the probes of one check. */
-  #nextOf(roster: ReadonlySet<EntryId>): Member[] {
+  /** Returns the next roster members in rotation, which bounds the probes per check. */
+  #nextToPoll(roster: ReadonlySet<EntryId>): Member[] {
     const { memberTable, probeOrder } = this.#deps;
     const { id: except } = memberTable.self;
     const byId = new Map(
@@ -130,29 +133,29 @@
         .map((member) => [member.id, member]),
     );
     const count = Math.max(
-      FEWEST_ASKED,
+      MIN_MEMBERS_PER_CHECK,
       Math.ceil(byId.size / CHECKS_PER_ROSTER),
     );
-    if (this.#toAsk.length === 0) {
-      const all = { count: byId.size, except };
-      this.#toAsk = probeOrder.some([...byId.values()], all)
+    if (this.#pollQueue.length === 0) {
+      const options = { count: byId.size, except };
+      this.#pollQueue = probeOrder.some([...byId.values()], options)
         .map(({ id }) => id);
     }
-    return this.#toAsk.splice(0, count).flatMap((id) => byId.get(id) ?? []);
+    return this.#pollQueue.splice(0, count).flatMap((id) => byId.get(id) ?? []);
   }
 
-  /** Entry VMs whose confirmations are taken over where there is no roster. */
-  #confirmedPeers(): Member[] {
+  /** Returns the entry VMs whose confirmations are adopted when there is no roster. */
+  #peersToPoll(): Member[] {
     const { memberTable, probeOrder, relayRole } = this.#deps;
     const { id: except } = memberTable.self;
-    const options = { count: PEERS_ASKED, except };
+    const options = { count: PEERS_PER_CHECK, except };
     return [
-      ...relayRole.toAsk().slice(0, PEERS_ASKED),
+      ...relayRole.toAsk().slice(0, PEERS_PER_CHECK),
       ...probeOrder.some(memberTable.others(), options),
     ];
   }
 
-  #note(fresh: boolean): void {
+  #logTransition(fresh: boolean): void {
     if (fresh === this.#wasFresh) return;
     this.#wasFresh = fresh;
     const { configurationStore, logger } = this.#deps;
--- a/src/configuration/configuration_follower.ts
+++ b/src/configuration/head_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration in force up to date, by the platform and by peers. */
+/** Keeps the configuration up to date from the platform and from peers. */
 
 import { pause } from "../runtime/pause.ts";
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
@@ -20,17 +20,17 @@
 import { parseHead } from "./head_reader.ts";
 import type { ConfigurationLoader } from "./configuration_loader.ts";
 
-/** How long one watch call waits for a change. */
-const WATCH_WAIT_MS = 1_500;
-/** Wait before the platform is asked again after an error. */
-const RETRY_MS = 500;
-/** Wait before an entry that is no relay looks whether it has become one. */
-const ROLE_CHECK_MS = 500;
-/** Time between looks for a peer with a later revision. */
-const PEER_CHECK_MS = 250;
+/** Maximum wait of one watch call for a change. */
+const WATCH_TIMEOUT_MS = 1_500;
+/** Delay before the platform is called again after an error. */
+const PLATFORM_RETRY_DELAY_MS = 500;
+/** Interval at which an entry VM that is not a relay checks whether it has become one. */
+const ROLE_CHECK_INTERVAL_MS = 500;
+/** Interval of checking for a peer with a later revision. */
+const PEER_CHECK_INTERVAL_MS = 250;
 
-/** Why the platform is asked, for the metrics. */
-export type AskKind = "watch" | "confirm";
+/** Kind of a platform call, as a metric label. */
+export type PlatformCallKind = "watch" | "confirm";
 
 interface Deps {
   readonly platform: Platform;
@@ -47,28 +47,26 @@
   readonly logger: Logger;
 }
 
-/** Follows the head. */
-export class ConfigurationFollower {
+/** Follows the configuration head. */
+export class HeadFollower {
   readonly #deps: Deps;
   readonly #peerCheck = new RepeatedTask({
-    intervalMs: PEER_CHECK_MS,
-    run: () => this.#learnFromPeers(),
+    intervalMs: PEER_CHECK_INTERVAL_MS,
+    run: () => this.#pullFromPeers(),
   });
   readonly #stop = new AbortController();
   #headVersion = 0;
-  #platformAway = false;
+  #platformFailed = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Starts to follow. */
   start(): void {
     this.#peerCheck.start();
     void this.#watchLoop();
   }
 
-  /** Stops to follow. */
   stop(): void {
     this.#peerCheck.stop();
     this.#stop.abort();
@@ -77,19 +75,19 @@
   async #watchLoop(): Promise<void> {
     while (!this.#stop.signal.aborted) {
       if (!this.#deps.relayRole.held) {
-        await pause(ROLE_CHECK_MS);
+        await pause(ROLE_CHECK_INTERVAL_MS);
         continue;
       }
-      const answered = await this.ask("watch", WATCH_WAIT_MS);
-      if (!answered) await pause(RETRY_MS);
+      const answered = await this.refresh("watch", WATCH_TIMEOUT_MS);
+      if (!answered) await pause(PLATFORM_RETRY_DELAY_MS);
     }
   }
 
   /**
-   * Asks the platform for a later head, waits so long for one, and takes it. Returns
-   * whether the platform answered in a way that confirms what is in force.
+   * Waits up to `waitMs` for a later head in the platform and applies it; reads the head if
+   * `waitMs` is 0. Returns whether the response confirms the configuration in force.
    */
-  async ask(kind: AskKind, waitMs: number): Promise<boolean> {
+  async refresh(kind: PlatformCallKind, waitMs: number): Promise<boolean> {
     if (waitMs <= 0) return await this.#confirmByRead(kind);
     const { platform, clock } = this.#deps;
     const startedMs = clock.monotonicMs();
@@ -98,47 +96,47 @@
       waitMs,
       signal: this.#stop.signal,
     });
-    if (!this.#noteAnswer(kind, answer)) return false;
-    // A watch that hears nothing may be stuck; only a read shows that nothing changed.
+    if (!this.#recordAnswer(kind, answer)) return false;
+    // A watch without events may be stuck; only a read confirms that nothing has changed.
     if (answer.value === undefined) return await this.#confirmByRead("confirm");
-    return await this.#confirmBy(answer.value, startedMs);
+    return await this.#confirmByObject(answer.value, startedMs);
   }
 
-  async #confirmByRead(kind: AskKind): Promise<boolean> {
+  async #confirmByRead(kind: PlatformCallKind): Promise<boolean> {
     const { platform, clock } = this.#deps;
     const startedMs = clock.monotonicMs();
     const { signal } = this.#stop;
     const answer = await platform.get(HEAD_KEY, { signal });
     if (!answer.ok && answer.error.tag === "missing") {
-      this.#notePlatform(undefined);
+      this.#logPlatformTransition(undefined);
       if (this.#headVersion > 0) return false;
       this.#confirm(startedMs);
       return true;
     }
-    if (!this.#noteAnswer(kind, answer)) return false;
-    return await this.#confirmBy(answer.value, startedMs);
+    if (!this.#recordAnswer(kind, answer)) return false;
+    return await this.#confirmByObject(answer.value, startedMs);
   }
 
-  /** Counts an answer; returns whether there was one and it still matters. */
-  #noteAnswer<T>(
-    kind: AskKind,
+  /** Counts a response; returns whether it succeeded before the follower was stopped. */
+  #recordAnswer<T>(
+    kind: PlatformCallKind,
     answer: Result<T, PlatformError>,
   ): answer is { readonly ok: true; readonly value: T } {
     if (this.#stop.signal.aborted) return false;
     const outcome = answer.ok ? "answered" : answer.error.tag;
     this.#deps.entryMetrics.platformCalls.inc({ kind, outcome });
-    this.#notePlatform(answer.ok ? undefined : answer.error);
+    this.#logPlatformTransition(answer.ok ? undefined : answer.error);
     return answer.ok;
   }
 
-  async #confirmBy(
+  async #confirmByObject(
     object: PlatformObject,
     startedMs: number,
   ): Promise<boolean> {
-    // An answer from before what is known says nothing of the time since.
+    // A response older than the known head does not confirm the head since then.
     if (object.version < this.#headVersion) return false;
-    const known = object.version === this.#headVersion;
-    if (!known && !await this.#takeObject(object)) return false;
+    const isKnown = object.version === this.#headVersion;
+    if (!isKnown && !await this.#applyHeadObject(object)) return false;
     this.#confirm(startedMs);
     return true;
   }
@@ -149,38 +147,43 @@
     platformContact.noteHeadRead();
   }
 
-  async #takeObject({ value, version }: PlatformObject): Promise<boolean> {
+  async #applyHeadObject({ value, version }: PlatformObject): Promise<boolean> {
     const head = parseHead(value);
     if (head === undefined) {
-      this.#deps.logger.warn("Head in the platform is not understood");
+      this.#deps.logger.warn(
+        "Configuration head in the platform has an unsupported format",
+      );
       return false;
     }
-    const taken = await this.#take(head, undefined);
-    if (taken) this.#headVersion = Math.max(this.#headVersion, version);
-    return taken;
+    const applied = await this.#applyHead(head, undefined);
+    if (applied) this.#headVersion = Math.max(this.#headVersion, version);
+    return applied;
   }
 
-  async #learnFromPeers(): Promise<void> {
+  async #pullFromPeers(): Promise<void> {
     const { memberTable, configurationStore, peers } = this.#deps;
-    const ahead = memberTable.others()
+    const mostRecent = memberTable.others()
       .filter((member) => member.revision > configurationStore.revision)
       .sort((a, b) => b.revision - a.revision)[0];
-    if (ahead === undefined) return;
-    const answer = await peers.head(ahead.peers, configurationStore.revision);
+    if (mostRecent === undefined) return;
+    const answer = await peers.head(
+      mostRecent.peers,
+      configurationStore.revision,
+    );
     if (!answer.ok) return;
     const head = "head" in answer.value
       ? answer.value.head
       : applyHeadDelta(configurationStore.head, answer.value.delta);
-    if (head !== undefined) await this.#take(head, ahead.peers);
+    if (head !== undefined) await this.#applyHead(head, mostRecent.peers);
   }
 
-  async #take(head: Head, peer: string | undefined): Promise<boolean> {
+  async #applyHead(head: Head, peer: string | undefined): Promise<boolean> {
     const { configurationStore, configurationLoader, memberTable, logger } =
       this.#deps;
     if (head.revision <= configurationStore.revision) return true;
     const loaded = await configurationLoader.load(head, peer);
     if (!loaded.ok) {
-      logger.warn("Configuration cannot be loaded", {
+      logger.warn("Configuration could not be loaded", {
         revision: head.revision,
         reason: loaded.error,
       });
@@ -193,25 +196,27 @@
       revision: head.revision,
       source: peer ?? "platform",
     });
-    if (peer === undefined) this.#announce();
+    if (peer === undefined) this.#announceToDataCentre();
     return true;
   }
 
-  /** A relay tells its data centre at once; news between data centres spreads by probes. */
-  #announce(): void {
+  /**
+   * Announces the revision in this data centre immediately; probes carry it to other data centres.
+   */
+  #announceToDataCentre(): void {
     const { memberTable, prober } = this.#deps;
     const { self } = memberTable;
-    const near = memberTable.others().filter((member) =>
+    const outdatedNeighbours = memberTable.others().filter((member) =>
       member.data_centre === self.data_centre && member.revision < self.revision
     );
-    void prober.announce(near);
+    void prober.announce(outdatedNeighbours);
   }
 
-  #notePlatform(err: PlatformError | undefined): void {
-    const away = err !== undefined && err.tag !== "missing";
-    if (away === this.#platformAway) return;
-    this.#platformAway = away;
-    if (away) this.#deps.logger.warn("Platform is away", { reason: err.tag });
-    else this.#deps.logger.info("Platform is back");
+  #logPlatformTransition(err: PlatformError | undefined): void {
+    const failed = err !== undefined && err.tag !== "missing";
+    if (failed === this.#platformFailed) return;
+    this.#platformFailed = failed;
+    if (failed) this.#deps.logger.warn("Platform failed", { reason: err.tag });
+    else this.#deps.logger.info("Platform recovered");
   }
 }
--- a/src/configuration/configuration_follower_test.ts
+++ b/src/configuration/head_follower_test.ts
@@ -7,11 +7,11 @@
 import { ok } from "../core/result.ts";
 import { EntryMetrics } from "../metrics/entry_metrics.ts";
 import { SilentLogger } from "../runtime/logger.ts";
-import { ConfigurationFollower } from "./configuration_follower.ts";
+import { HeadFollower } from "./head_follower.ts";
 
-type Deps = ConstructorParameters<typeof ConfigurationFollower>[0];
+type Deps = ConstructorParameters<typeof HeadFollower>[0];
 
-/** A follower whose watches never hear anything, though the head is at `version`. */
+/** Creates a follower whose watches never report a change, although the head is at `version`. */
 function fixture(state: { version: number }) {
   const head = () => ({
     revision: state.version,
@@ -19,10 +19,10 @@
     accepted: [],
     accepted_at_ms: 0,
   });
-  const taken: number[] = [];
+  const appliedRevisions: number[] = [];
   const freshness = new Freshness();
   const store = { revision: NO_REVISION, head: undefined };
-  const follower = new ConfigurationFollower(
+  const follower = new HeadFollower(
     {
       platform: {
         watch: () => Promise.resolve(ok(undefined)),
@@ -38,7 +38,7 @@
       configurationStore: {
         ...store,
         offer: ({ revision }: { revision: Revision }) =>
-          taken.push(revision) > 0,
+          appliedRevisions.push(revision) > 0,
       },
       configurationLoader: { load: () => Promise.resolve(ok(head())) },
       memberTable: {
@@ -54,30 +54,30 @@
       logger: new SilentLogger(),
     } as unknown as Deps,
   );
-  return { follower, freshness, taken };
+  return { follower, freshness, appliedRevisions };
 }
 
-describe("configuration follower", () => {
-  it("should not take a watch that hears nothing for a confirmation", async () => {
-    const { follower, taken } = fixture({ version: 7 });
-    await follower.ask("watch", 10);
-    assert.deepEqual(taken, [7]);
+describe("head follower", () => {
+  it("should read the head after a watch without events", async () => {
+    const { follower, appliedRevisions } = fixture({ version: 7 });
+    await follower.refresh("watch", 10);
+    assert.deepEqual(appliedRevisions, [7]);
   });
 
-  it("should confirm by a read of the head", async () => {
-    const { follower, freshness, taken } = fixture({ version: 3 });
-    assert.equal(await follower.ask("confirm", 0), true);
-    assert.deepEqual(taken, [3]);
+  it("should confirm the configuration by reading the head", async () => {
+    const { follower, freshness, appliedRevisions } = fixture({ version: 3 });
+    assert.equal(await follower.refresh("confirm", 0), true);
+    assert.deepEqual(appliedRevisions, [3]);
     assert.equal(freshness.isFresh(1_000), true);
   });
 
-  // Found by reading: any answer at or below the known version confirmed, so that one from
-  // before a change, as by a reply that was long on its way, vouched for the time after it.
-  it("should not be confirmed by a read of an earlier head", async () => {
+  // Guards against a delayed response, read before a change, that confirms the configuration for
+  // the time after the change: any version up to the known one used to count as a confirmation.
+  it("should not confirm the configuration by reading an earlier head", async () => {
     const state = { version: 7 };
     const { follower } = fixture(state);
-    assert.equal(await follower.ask("confirm", 0), true);
+    assert.equal(await follower.refresh("confirm", 0), true);
     state.version = 6;
-    assert.equal(await follower.ask("confirm", 0), false);
+    assert.equal(await follower.refresh("confirm", 0), false);
   });
 });
--- a/src/configuration/head_reader.ts
+++ b/src/configuration/head_reader.ts
@@ -1,4 +1,4 @@
-/** Reads the head from the platform. */
+/** Reads the configuration head from the platform. */
 
 import { type Head, HEAD_KEY } from "../core/config/stored_configuration.ts";
 import { fail, ok, type Result } from "../core/result.ts";
@@ -9,7 +9,7 @@
 } from "../platform/platform.ts";
 import { headSchema } from "../protocol/stored_schema.ts";
 
-/** The head and the platform's version of it; 0 and none before the first apply. */
+/** The head and its stored version; undefined and 0 before the first apply. */
 export interface HeadRecord {
   readonly head: Head | undefined;
   readonly version: number;
@@ -27,10 +27,13 @@
   }
   const head = parseHead(object.value.value);
   if (head !== undefined) return ok({ head, version: object.value.version });
-  return fail({ tag: "uncertain", reason: "head is of an unknown form" });
+  return fail({
+    tag: "uncertain",
+    reason: "configuration head has an unsupported format",
+  });
 }
 
-/** Parses the text of a head; undefined when it has an unknown form. */
+/** Parses a stored head; returns undefined if its format is not supported. */
 export function parseHead(text: string): Head | undefined {
   try {
     return headSchema.safeParse(JSON.parse(text)).data;
--- a/src/configuration/holder_reporter.ts
+++ b/src/configuration/holder_reporter.ts
@@ -1,4 +1,4 @@
-/** Reports to the platform what entry VMs hold, and whom this one asks in an outage. */
+/** Reports held revisions and this entry VM's roster to the platform. */
 
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import {
@@ -18,19 +18,21 @@
 import type { Logger } from "../runtime/logger.ts";
 import { pause } from "../runtime/pause.ts";
 import { RepeatedTask } from "../runtime/repeated_task.ts";
-import type { ConfigurationFollower } from "./configuration_follower.ts";
+import type { HeadFollower } from "./head_follower.ts";
 
-/** Time between looks whether there is something to report. */
+/** Interval of checking whether the report has changed. */
 const CHECK_INTERVAL_MS = 100;
-/** Wait after a report that the platform did not take. */
-const RETRY_MS = 500;
-/** Attempts to withdraw the roster; an entry VM that stops doesn't wait for the platform. */
+/** Delay after a failed report or confirmation. */
+const RETRY_DELAY_MS = 500;
+/**
+ * Attempts to withdraw the roster; limited so that an unavailable platform does not delay a stop.
+ */
 const WITHDRAW_ATTEMPTS = 2;
 
 interface Deps {
   readonly platform: Platform;
   readonly configurationStore: ConfigurationStore;
-  readonly configurationFollower: ConfigurationFollower;
+  readonly headFollower: HeadFollower;
   readonly memberTable: MemberTable;
   readonly relayRole: RelayRole;
   readonly vmViewHolder: VmViewHolder;
@@ -38,112 +40,113 @@
   readonly logger: Logger;
 }
 
-/** Relays report, for themselves and for the others of their data centre. */
+/** Relays report for themselves and for the followers in their data centre. */
 export class HolderReporter {
   readonly #deps: Deps;
   readonly #task = new RepeatedTask({
     intervalMs: CHECK_INTERVAL_MS,
     run: () => this.#check(),
   });
-  /** Version of the own report in the platform; undefined until it is known. */
+  /** Stored version of this entry VM's report; undefined while unknown. */
   #version: number | undefined;
-  /** Last report that the platform has taken. */
-  #reported: HolderReport | undefined;
-  /** Whether no later report may stand in the platform than the last that it has taken. */
-  #inSync = false;
-  /** The roster in force, and those that may have come to stand in the platform since. */
+  /** Last report that the platform acknowledged. */
+  #storedReport: HolderReport | undefined;
+  /**
+   * False while a later write, whose outcome is unknown, may have replaced the acknowledged report.
+   */
+  #isLastWriteStored = false;
+  /** The roster in force, followed by later ones that may be stored in the platform. */
   #rosters: (readonly EntryId[])[] = [];
-  /** Whether the head was read since the first of these rosters stands in the platform. */
-  #inForce = false;
+  /** Whether the head has been read since the first of these rosters was stored. */
+  #isConfirmed = false;
   #failing = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Starts to report. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to report. */
   stop(): void {
     this.#task.stop();
   }
 
-  /** Withdraws the roster, as an entry VM that stops needs no majority any more. */
+  /** Withdraws the roster: an entry VM that stops no longer needs confirmation by a majority. */
   async withdraw(): Promise<void> {
-    const reported = this.#reported;
+    const reported = this.#storedReport;
     if (reported === undefined) return;
-    // A report that is still under way may come first, and be in the way of this one.
+    // A report still in flight may be written first and cause a version conflict.
     for (let attempt = 0; attempt < WITHDRAW_ATTEMPTS; attempt++) {
       if (await this.#write({ ...reported, roster: [], held: [] })) return;
-      await pause(RETRY_MS);
+      await pause(RETRY_DELAY_MS);
     }
   }
 
-  /** Rosters of each of which a majority must confirm; none where this entry VM can't ask. */
+  /** Rosters that must each confirm by majority; empty if this entry VM cannot use majorities. */
   get rosters(): readonly (readonly EntryId[])[] {
-    return this.#inForce && this.#rosters.every(({ length }) => length > 0)
+    return this.#isConfirmed && this.#rosters.every(({ length }) => length > 0)
       ? this.#rosters
       : [];
   }
 
   async #check(): Promise<void> {
-    const report = this.#current();
+    const report = this.#createReport();
     if (report === undefined) return;
-    const isReported = this.#inSync && isSame(report, this.#reported);
-    const isDone = isReported
-      ? this.#isSettled || await this.#settle(report)
+    const isReported = this.#isLastWriteStored &&
+      isSame(report, this.#storedReport);
+    const succeeded = isReported
+      ? this.#isRosterConfirmed || await this.#confirmRoster(report)
       : await this.#write(report);
-    if (!isDone) await pause(RETRY_MS);
+    if (!succeeded) await pause(RETRY_DELAY_MS);
   }
 
-  get #isSettled(): boolean {
-    return this.#inForce && this.#rosters.length === 1;
+  get #isRosterConfirmed(): boolean {
+    return this.#isConfirmed && this.#rosters.length === 1;
   }
 
   /**
-   * Reads the head: a revision that was accepted before the platform had the reported roster
-   * may be held by none of it. Only then do earlier rosters count no more.
+   * Reads the head after the roster was stored. Until then, earlier rosters still count: a
+   * revision accepted before the roster was stored may be held by none of its members.
    */
-  async #settle({ roster }: HolderReport): Promise<boolean> {
-    if (!await this.#deps.configurationFollower.ask("confirm", 0)) return false;
+  async #confirmRoster({ roster }: HolderReport): Promise<boolean> {
+    if (!await this.#deps.headFollower.refresh("confirm", 0)) return false;
     this.#rosters = [roster];
-    this.#inForce = true;
+    this.#isConfirmed = true;
     return true;
   }
 
-  /** What there is to report; undefined where this entry VM need not report. */
-  #current(): HolderReport | undefined {
+  /** Returns the current report; undefined if this entry VM need not report. */
+  #createReport(): HolderReport | undefined {
     const { memberTable, relayRole, configurationStore, vmViewHolder } =
       this.#deps;
     const { self } = memberTable;
     const entry = self.id;
     if (!relayRole.held) {
-      if (this.#reported === undefined) return undefined;
-      return { ...this.#reported, roster: [], held: [] };
+      if (this.#storedReport === undefined) return undefined;
+      return { ...this.#storedReport, roster: [], held: [] };
     }
     const relays = new Set(relayRole.toAsk().map(({ id }) => id));
     const followers = memberTable.others().filter((member) =>
       member.data_centre === self.data_centre && !relays.has(member.id)
     );
     const { revision } = configurationStore;
-    const listed = this.#reported?.listed === true ||
+    const listed = this.#storedReport?.listed === true ||
       vmViewHolder.current?.entries.includes(self.peers) === true;
-    const holdings = followers.map((member) => ({
+    const heldByFollowers = followers.map((member) => ({
       entry: member.id,
       revision: member.revision,
     }));
     return {
       entry,
       roster: [entry, ...memberTable.expected().map(({ id }) => id)].sort(),
-      held: [{ entry, revision }, ...holdings.sort(byEntry)],
+      held: [{ entry, revision }, ...heldByFollowers.sort(byEntry)],
       listed,
     };
   }
 
-  /** Returns whether the platform took the report. */
+  /** Writes the report; returns whether the platform acknowledged it. */
   async #write(report: HolderReport): Promise<boolean> {
     const { platform, entryMetrics } = this.#deps;
     const key = holderReportKey(report.entry);
@@ -151,18 +154,18 @@
     if (expectedVersion === undefined) return false;
     const isNewRoster = report.roster.join() !== this.#rosters.at(-1)?.join();
     if (isNewRoster) this.#rosters.push(report.roster);
-    this.#inSync = false;
+    this.#isLastWriteStored = false;
     const answer = await platform.put(key, {
       value: JSON.stringify(report),
       expectedVersion,
     });
     const outcome = answer.ok ? "answered" : answer.error.tag;
     entryMetrics.platformCalls.inc({ kind: "report", outcome });
-    this.#noteFailing(answer.ok ? undefined : answer.error);
+    this.#logTransition(answer.ok ? undefined : answer.error);
     this.#version = answer.ok ? answer.value : undefined;
     if (answer.ok) {
-      this.#reported = report;
-      this.#inSync = true;
+      this.#storedReport = report;
+      this.#isLastWriteStored = true;
     } else if (isNewRoster && answer.error.tag !== "uncertain") {
       this.#rosters.pop();
     }
@@ -173,22 +176,22 @@
     const answer = await this.#deps.platform.get(key);
     if (answer.ok) return answer.value.version;
     if (answer.error.tag === "missing") return 0;
-    this.#noteFailing(answer.error);
+    this.#logTransition(answer.error);
     return undefined;
   }
 
-  #noteFailing(err: PlatformError | undefined): void {
+  #logTransition(err: PlatformError | undefined): void {
     const failing = err !== undefined;
     if (failing === this.#failing) return;
     this.#failing = failing;
     const { logger, configurationStore } = this.#deps;
     const { revision } = configurationStore;
     if (failing) {
-      logger.warn("Held revision can't be reported", {
+      logger.warn("Held revision could not be reported to the platform", {
         revision,
         reason: describePlatformError(err),
       });
-    } else logger.info("Held revision is reported", { revision });
+    } else logger.info("Held revision is reported again", { revision });
   }
 }
 
--- a/src/entry/address_book.ts
+++ b/src/entry/address_book.ts
@@ -1,4 +1,4 @@
-/** Tells callers which entry VMs to use. */
+/** Provides callers with the addresses of entry VMs. */
 
 import type { MemberTable } from "../core/membership/member_table.ts";
 import type { Member } from "../core/membership/member.ts";
@@ -12,7 +12,7 @@
   readonly chance: RandomSource;
 }
 
-/** Addresses of the entry VMs that serve. */
+/** Addresses of the entry VMs that callers can use. */
 export class AddressBook {
   readonly #deps: Deps;
 
@@ -20,14 +20,19 @@
     this.#deps = deps;
   }
 
-  /** Nearest data centre first; within it by chance, so that callers spread. */
-  answer(query: unknown): Addresses {
+  /** Lists the requested data centre first, in random order within each group to spread callers. */
+  list(query: unknown): Addresses {
     const { settings, memberTable, chance } = this.#deps;
-    const asked = (query as { data_centre?: unknown }).data_centre;
-    const near = typeof asked === "string" ? asked : settings.entry.data_centre;
+    const requested = (query as { data_centre?: unknown }).data_centre;
+    const preferredDataCentre = typeof requested === "string"
+      ? requested
+      : settings.entry.data_centre;
     const sorted = memberTable.callable()
-      .map((member) => ({ member, order: orderOf(member, near) + chance() }))
-      .sort((a, b) => a.order - b.order);
+      .map((member) => ({
+        member,
+        weight: orderWeight(member, preferredDataCentre) + chance(),
+      }))
+      .sort((a, b) => a.weight - b.weight);
     return {
       addresses: sorted.map(({ member }) => ({
         address: member.callers,
@@ -38,8 +43,8 @@
   }
 }
 
-/** Suspects come after all others; the near data centre before the far ones. */
-function orderOf(member: Member, near: string): number {
-  return (member.data_centre === near ? 0 : 1) +
+/** Sorts suspect members last, and the preferred data centre before others. */
+function orderWeight(member: Member, preferredDataCentre: string): number {
+  return (member.data_centre === preferredDataCentre ? 0 : 1) +
     (member.state === "suspect" ? 2 : 0);
 }
--- a/src/entry/caller_gate.ts
+++ b/src/entry/admission_controller.ts
@@ -1,4 +1,4 @@
-/** Lets callers in: key, limits and deadline, the same for every kind of request. */
+/** Admits requests of every kind: checks the key, in-flight limits, session and deadline. */
 
 import type { FastifyRequest } from "fastify";
 import { randomUUID } from "node:crypto";
@@ -15,8 +15,8 @@
 
 const BEARER = /^Bearer +(\S+) *$/i;
 const SESSION_PATTERN = /^[\x21-\x7e]{1,200}$/;
-const NOT_READY_RETRY_MS = 1_000;
-const LONGEST_DEADLINE_MS = 3_600_000;
+const NOT_READY_RETRY_AFTER_MS = 1_000;
+const MAX_DEADLINE_MS = 3_600_000;
 
 interface Deps {
   readonly configurationStore: ConfigurationStore;
@@ -24,21 +24,20 @@
   readonly settings: Settings;
 }
 
-/** Admission of requests. */
-export class CallerGate {
+/** Admission control for requests of callers. */
+export class AdmissionController {
   readonly #deps: Deps;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Returns a new request id. */
   newRequestId(): RequestId {
     return randomUUID() as RequestId;
   }
 
-  /** Lets a request in, to be ended by `leave`, or tells why not. */
-  enter(
+  /** Admits a request, which must be ended with `release`, or returns why it is rejected. */
+  admit(
     req: FastifyRequest,
     requestId: RequestId,
   ): Result<RequestContext, RequestError> {
@@ -48,10 +47,10 @@
     if (!account.ok) return account;
     const session = readSession(req.headers["fieldrack-session"]);
     if (!session.ok) return session;
-    const limitMs = this.#deadlineMs(req.headers["fieldrack-deadline-ms"]);
+    const limitMs = this.#parseDeadline(req.headers["fieldrack-deadline-ms"]);
     if (!limitMs.ok) return limitMs;
-    const entered = this.#deps.inFlightLimits.tryAcquire(account.value);
-    if (!entered.ok) return entered;
+    const admitted = this.#deps.inFlightLimits.tryAcquire(account.value);
+    if (!admitted.ok) return admitted;
     return ok({
       requestId,
       keyHash: key.value,
@@ -61,8 +60,8 @@
     });
   }
 
-  /** Ends a request that was let in. */
-  leave(ctx: RequestContext): void {
+  /** Ends an admitted request. */
+  release(ctx: RequestContext): void {
     ctx.deadline.close();
     this.#deps.inFlightLimits.release(ctx.account.id);
   }
@@ -70,31 +69,31 @@
   #account(keyHash: Sha256): Result<Account, RequestError> {
     const { index } = this.#deps.configurationStore;
     if (index === undefined) {
-      const reason = "it has learnt no configuration yet";
+      const reason = "it has not loaded a configuration yet";
       return fail({
         tag: "not_ready",
         reason,
-        retryAfterMs: NOT_READY_RETRY_MS,
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
       });
     }
-    // Looked up by its hash, so timing tells nothing about the key itself.
+    // The lookup uses the hash of the key, so that its timing reveals nothing about the key.
     const account = index.accountByKey(keyHash);
     return account === undefined ? unauthorised("Key is unknown") : ok(account);
   }
 
-  #deadlineMs(
+  #parseDeadline(
     header: string | string[] | undefined,
   ): Result<number, RequestError> {
     if (header === undefined) return ok(this.#deps.settings.limits.deadline_ms);
     const limitMs = Number(header);
     if (
       Number.isInteger(limitMs) && limitMs >= 1 &&
-      limitMs <= LONGEST_DEADLINE_MS
+      limitMs <= MAX_DEADLINE_MS
     ) {
       return ok(limitMs);
     }
     const reason =
-      `expected whole milliseconds from 1 to ${LONGEST_DEADLINE_MS}`;
+      `expected an integer from 1 to ${MAX_DEADLINE_MS}, in milliseconds`;
     return fail({
       tag: "malformed",
       where: "header fieldrack-deadline-ms",
--- a/src/entry/backend_selector.ts
+++ b/src/entry/backend_selector.ts
@@ -1,4 +1,4 @@
-/** Finds the server that a request goes to next, by the configuration in force. */
+/** Selects the backend server for the next attempt of a request. */
 
 import type {
   Account,
@@ -22,15 +22,15 @@
 import { unitHash } from "../runtime/hashing.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** When a caller should come back if nothing tells when a server will be there. */
-const RETRY_AFTER_MS = 1_000;
+/** Retry delay for callers if it is unknown when a server becomes available. */
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** A model server and the version it is to use. */
+/** A selected model server and the version to run on it. */
 export interface Target {
   readonly server: BackendServer;
   readonly step: CascadeStep;
   readonly version: ModelVersion;
-  /** Revision of the configuration by which this was decided. */
+  /** Revision of the configuration that the selection is based on. */
   readonly revision: Revision;
 }
 
@@ -44,8 +44,8 @@
 }
 
 /**
- * Selects servers. It looks the configuration up anew at each call, so that a
- * retry or an escalation sees what has been accepted meanwhile.
+ * Selects servers. Each call uses the configuration in force at that time, so that retries and
+ * escalations follow revisions accepted in the meantime.
  */
 export class BackendSelector {
   readonly #deps: Deps;
@@ -56,15 +56,15 @@
     deps.configurationStore.onChange(() => this.#subsets.clear());
   }
 
-  /** Steps for the name that a caller gave, by what its account allows now. */
+  /** Returns the cascade steps of the requested name, if the account currently allows it. */
   plan(ctx: RequestContext, name: string): Result<CascadeStep[], RequestError> {
     const account = this.#account(ctx);
     if (!account.ok) return account;
     return planCascade(this.#index(), { account: account.value, name });
   }
 
-  /** Server for one step; versions are tried in order of preference. */
-  target(
+  /** Selects a server for a step; versions are considered in order of preference. */
+  selectTarget(
     step: CascadeStep,
     { ctx, tried }: { ctx: RequestContext; tried: ReadonlySet<BackendId> },
   ): Result<Target, RequestError> {
@@ -76,7 +76,7 @@
       stickyKey: ctx.stickyKey,
       unitHash,
     });
-    const seen: BackendServer[] = [];
+    const unavailable: BackendServer[] = [];
     for (const version of versions) {
       const candidates = this.#subset(
         `${model.id}@${version.id}`,
@@ -86,12 +86,12 @@
       if (server !== undefined) {
         return ok({ server, step, version, revision: index.revision });
       }
-      seen.push(...candidates);
+      unavailable.push(...candidates);
     }
-    return fail(this.#noServer(model.id, seen));
+    return fail(this.#noServer(model.id, unavailable));
   }
 
-  /** Plain service of the name that a caller gave, by what its account allows now. */
+  /** Returns the plain service of the requested name, if the account currently allows it. */
   planService(
     ctx: RequestContext,
     name: string,
@@ -104,8 +104,8 @@
     return fail({ tag: "not_allowed", name });
   }
 
-  /** Server for a call of a plain service. */
-  serviceServer(
+  /** Selects a server for a call of a plain service. */
+  selectServiceServer(
     service: ServiceId,
     tried: ReadonlySet<BackendId>,
   ): Result<BackendServer, RequestError> {
@@ -118,30 +118,36 @@
     return fail(this.#noServer(service, candidates));
   }
 
-  /** All servers that this entry uses, for load reports. */
-  usedModelServers(): BackendServer[] {
+  /** Returns all model servers that this entry uses; their load reports are needed. */
+  modelServersInUse(): BackendServer[] {
     const { index } = this.#deps.configurationStore;
     if (index === undefined) return [];
-    const used = new Map<BackendId, BackendServer>();
+    const serversInUse = new Map<BackendId, BackendServer>();
     for (const model of index.configuration.models) {
       for (const version of model.versions) {
         const subset = this.#subset(
           `${model.id}@${version.id}`,
           () => index.serversOf(model.id, version.id),
         );
-        for (const server of subset) used.set(server.id, server);
+        for (const server of subset) serversInUse.set(server.id, server);
       }
     }
-    return [...used.values()];
+    return [...serversInUse.values()];
   }
 
-  /** Looked up before each try: a process may have been frozen since the last. */
+  /**
+   * Checked before each attempt, because the process may have been suspended since the last one.
+   */
   #account({ keyHash }: RequestContext): Result<Account, RequestError> {
     const { configurationStore, freshness, clock } = this.#deps;
     if (!freshness.isFresh(clock.monotonicMs())) {
       const reason =
-        "it has lost touch with the platform and the other entries";
-      return fail({ tag: "not_ready", reason, retryAfterMs: RETRY_AFTER_MS });
+        "its configuration has not been confirmed by the platform or other entries in time";
+      return fail({
+        tag: "not_ready",
+        reason,
+        retryAfterMs: DEFAULT_RETRY_AFTER_MS,
+      });
     }
     const account = configurationStore.index?.accountByKey(keyHash);
     if (account !== undefined) return ok(account);
@@ -149,7 +155,7 @@
   }
 
   #index(): ConfigurationIndex {
-    // An account was found, so there is a configuration, and its revision never falls.
+    // Defined: an account was found, and a configuration is only ever replaced by a later revision.
     return this.#deps.configurationStore.index as ConfigurationIndex;
   }
 
@@ -165,8 +171,8 @@
     key: string,
     servers: () => readonly BackendServer[],
   ): readonly BackendServer[] {
-    const known = this.#subsets.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#subsets.get(key);
+    if (cached !== undefined) return cached;
     const { entry, backends } = this.#deps.settings;
     const subset = chooseSubset(servers(), {
       entry: entry.id,
@@ -178,19 +184,19 @@
     return subset;
   }
 
-  /** Callers are told to come back when the first ejected server is tried again. */
+  /** Callers are told to retry when the first ejected or backing-off server becomes available. */
   #noServer(
     wanted: string,
     candidates: readonly BackendServer[],
   ): RequestError {
     const { serverPool, clock } = this.#deps;
     const nowMs = clock.monotonicMs();
-    const waits = candidates
+    const waitsMs = candidates
       .map(({ id }) => serverPool.availableInMs(id, nowMs))
       .filter((waitMs) => waitMs > 0);
-    const retryAfterMs = waits.length === 0
-      ? RETRY_AFTER_MS
-      : Math.ceil(Math.min(...waits));
+    const retryAfterMs = waitsMs.length === 0
+      ? DEFAULT_RETRY_AFTER_MS
+      : Math.ceil(Math.min(...waitsMs));
     return { tag: "no_server", wanted, retryAfterMs };
   }
 }
--- a/src/entry/backend_selector_test.ts
+++ b/src/entry/backend_selector_test.ts
@@ -34,7 +34,7 @@
   })),
 };
 
-describe("the choice of a backend server", () => {
+describe("backend selector", () => {
   let nowMs: number;
   let pool: ServerPool;
   let selector: BackendSelector;
@@ -81,10 +81,10 @@
   function target() {
     const plan = selector.plan(ctx, "m");
     assert.ok(plan.ok && plan.value[0]);
-    return selector.target(plan.value[0], { ctx, tried: new Set() });
+    return selector.selectTarget(plan.value[0], { ctx, tried: new Set() });
   }
 
-  test("should tell callers to come back when the first ejected server does", () => {
+  test("should return the time until the first ejected server becomes available", () => {
     for (const [at, id] of SERVERS.entries()) {
       for (let refusal = 0; refusal <= at; refusal++) {
         pool.begin(id);
@@ -99,7 +99,7 @@
     });
   });
 
-  test("should refuse what has been forbidden since the last try", () => {
+  test("should reject access that was revoked since the last attempt", () => {
     assert.ok(selector.plan(ctx, "m").ok);
     accept(2, {
       accounts: [{ ...configuration.accounts[0], models: [], services: [] }],
@@ -110,7 +110,7 @@
     assert.ok(!service.ok && service.error.tag === "not_allowed");
   });
 
-  test("should refuse everything once the configuration is not fresh", () => {
+  test("should reject all requests once the configuration confirmation has expired", () => {
     nowMs = FRESH_FOR_MS + 1;
     for (
       const plan of [
--- a/src/entry/caller_server.ts
+++ b/src/entry/caller_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers use. */
+/** HTTP server for callers. */
 
 import fastify, {
   type FastifyError,
@@ -12,21 +12,21 @@
 import type { Clock } from "../runtime/clock.ts";
 import { listenHttp } from "../runtime/listen.ts";
 import type { AddressBook } from "./address_book.ts";
-import type { CallerGate } from "./caller_gate.ts";
+import type { AdmissionController } from "./admission_controller.ts";
 import type { ChatEndpoint } from "./chat_endpoint.ts";
 import { answerClientError } from "./client_error.ts";
 import { replyError } from "./error_reply.ts";
 import { type ServiceEndpoint, SERVICES_PREFIX } from "./service_endpoint.ts";
 
 const KEEP_ALIVE_TIMEOUT_MS = 72_000;
-/** Time between looks for connections that have become idle during a stop. */
-const IDLE_CHECK_MS = 100;
-/** Time between looks for callers that are too slow. */
-const TIMEOUT_CHECK_MS = 500;
+/** Interval of closing connections that have become idle during a stop. */
+const IDLE_CHECK_INTERVAL_MS = 100;
+/** Interval of checking for requests that exceed the header or body timeout. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
 interface Deps {
   readonly settings: Settings;
-  readonly callerGate: CallerGate;
+  readonly admissionController: AdmissionController;
   readonly chatEndpoint: ChatEndpoint;
   readonly serviceEndpoint: ServiceEndpoint;
   readonly addressBook: AddressBook;
@@ -35,7 +35,7 @@
   readonly clock: Clock;
 }
 
-/** Serves callers. */
+/** Serves chat, plain services, addresses and health checks to callers. */
 export class CallerServer {
   readonly #deps: Deps;
   readonly #http: FastifyInstance;
@@ -47,17 +47,17 @@
     this.#addErrorAnswers();
   }
 
-  /** Starts to listen; returns the address in use. */
+  /** Starts listening; returns the bound address. */
   async listen(): Promise<string> {
     return await listenHttp(this.#http, this.#deps.settings.listen.callers);
   }
 
-  /** Stops to listen, finishes the requests in flight and closes what is idle. */
+  /** Stops listening, finishes the requests in flight and closes idle connections. */
   async close(): Promise<void> {
     const closed = this.#http.close();
     const timer = setInterval(
       () => this.#http.server.closeIdleConnections(),
-      IDLE_CHECK_MS,
+      IDLE_CHECK_INTERVAL_MS,
     );
     await closed;
     clearInterval(timer);
@@ -71,19 +71,19 @@
       keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       forceCloseConnections: "idle",
       exposeHeadRoutes: false,
-      // Whoever still comes by an open connection is served, not turned away.
+      // Requests on connections that are still open are served during a stop.
       return503OnClosing: false,
       clientErrorHandler: (err, socket) =>
         answerClientError(socket, {
           err,
-          requestId: this.#deps.callerGate.newRequestId(),
+          requestId: this.#deps.admissionController.newRequestId(),
           limitMs: limits.body_timeout_ms,
         }),
-      http: { connectionsCheckingInterval: TIMEOUT_CHECK_MS },
+      http: { connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS },
     });
     http.server.headersTimeout = limits.header_timeout_ms;
     http.server.maxConnections = limits.max_connections;
-    // Bodies are parsed by the endpoints, whose errors say where.
+    // The endpoints parse bodies, because their errors name the invalid field.
     http.removeAllContentTypeParsers();
     http.addContentTypeParser(
       "*",
@@ -105,7 +105,7 @@
       `${SERVICES_PREFIX}:name/*`,
       (req, reply) => serviceEndpoint.handle(req, reply),
     );
-    this.#http.get("/addresses", (req) => addressBook.answer(req.query));
+    this.#http.get("/addresses", (req) => addressBook.list(req.query));
     this.#http.get("/healthz", () => ({ ok: true }));
     this.#http.get("/readyz", (_req, reply) => this.#ready(reply));
   }
@@ -116,22 +116,22 @@
       return this.#replyError(reply, { tag: "unknown_route", method, path });
     });
     this.#http.setErrorHandler((err: FastifyError, req, reply) => {
-      // The rest of a body is read and dropped: a connection that is closed under a
-      // caller who still sends would lose the answer.
+      // Discards the rest of the body: closing the connection while the caller still sends
+      // would lose the reply.
       req.raw.resume();
       void reply.removeHeader("connection");
-      return this.#replyError(reply, this.#requestErrorOf(err));
+      return this.#replyError(reply, this.#toRequestError(err));
     });
   }
 
   #replyError(reply: FastifyReply, err: RequestError): FastifyReply {
     return replyError(reply, {
       err,
-      requestId: this.#deps.callerGate.newRequestId(),
+      requestId: this.#deps.admissionController.newRequestId(),
     });
   }
 
-  #requestErrorOf(err: FastifyError): RequestError {
+  #toRequestError(err: FastifyError): RequestError {
     if (err.code === "FST_ERR_CTP_BODY_TOO_LARGE") {
       const limitBytes = this.#deps.settings.limits.max_body_bytes;
       return { tag: "too_large", limitBytes };
--- a/src/entry/chat_endpoint.ts
+++ b/src/entry/chat_endpoint.ts
@@ -9,7 +9,7 @@
   chatRequestSchema,
 } from "../protocol/chat_schema.ts";
 import type { Clock } from "../runtime/clock.ts";
-import type { Admission } from "./admission.ts";
+import type { RequestRunner } from "./request_runner.ts";
 import type { ChatService } from "./chat_service.ts";
 import { HttpChatSink } from "./http_chat_sink.ts";
 import { parseJsonBody } from "./json_body.ts";
@@ -18,7 +18,7 @@
 const MS_PER_SECOND = 1_000;
 
 interface Deps {
-  readonly admission: Admission;
+  readonly requestRunner: RequestRunner;
   readonly chatService: ChatService;
   readonly entryMetrics: EntryMetrics;
   readonly clock: Clock;
@@ -30,7 +30,7 @@
   readonly body: ChatRequest;
 }
 
-/** Takes chat requests from HTTP and puts their answers back. */
+/** HTTP endpoint of chat requests. */
 export class ChatEndpoint {
   readonly #deps: Deps;
 
@@ -38,12 +38,12 @@
     this.#deps = deps;
   }
 
-  /** Answers one request. */
+  /** Handles one request. */
   async handle(
     req: FastifyRequest,
     reply: FastifyReply,
   ): Promise<FastifyReply> {
-    return await this.#deps.admission.admit(
+    return await this.#deps.requestRunner.run(
       { req, reply, kind: "chat" },
       async (ctx) => {
         const body = parseJsonBody(
--- a/src/entry/chat_service.ts
+++ b/src/entry/chat_service.ts
@@ -1,4 +1,4 @@
-/** Answers chat requests: goes through a plan until an answer is good enough. */
+/** Serves chat requests: runs the steps of a cascade until an answer is confident enough. */
 
 import type {
   ChatStream,
@@ -27,14 +27,14 @@
   StreamRelay,
 } from "./stream_relay.ts";
 
-/** A whole answer, ready to be passed on. */
+/** A complete answer, ready to be sent to the caller. */
 export interface ServedAnswer {
   readonly target: Target;
   readonly text: string;
 }
 
-/** A stream whose poor beginning is kept until there is something better. */
-interface HeldStream {
+/** A stream with low confidence, kept open as a fallback until a better one is available. */
+interface LowConfidenceStream {
   readonly dispatched: Dispatched<ChatStream>;
   readonly relay: StreamRelay;
   readonly outcome: RelayOutcome;
@@ -42,15 +42,15 @@
 
 type StepResult =
   | Exclude<RelayResult, { tag: "poor" }>
-  | { readonly tag: "poor"; readonly held: HeldStream };
+  | { readonly tag: "poor"; readonly stream: LowConfidenceStream };
 
 interface RelayOptions {
   readonly ctx: RequestContext;
   readonly sink: ChatSink;
-  /** Called before a server is asked. */
-  readonly onAsk: (server: BackendServer) => void;
-  /** Called when the beginning of a stream is good enough. */
-  readonly onGood: () => void;
+  /** Called before the request is sent to a server. */
+  readonly beforeSend: (server: BackendServer) => void;
+  /** Called when the confidence check of a stream passes. */
+  readonly onConfident: () => void;
 }
 
 interface Deps {
@@ -61,7 +61,7 @@
   readonly entryMetrics: EntryMetrics;
 }
 
-/** Serves chat requests of callers that have been let in. */
+/** Serves admitted chat requests. */
 export class ChatService {
   readonly #deps: Deps;
 
@@ -69,81 +69,84 @@
     this.#deps = deps;
   }
 
-  /** Returns the whole answer. */
+  /** Returns the complete answer. */
   async answer(
     ctx: RequestContext,
     req: ChatRequest,
   ): Promise<Result<ServedAnswer, RequestError>> {
     const plan = this.#deps.backendSelector.plan(ctx, req.model);
     if (!plan.ok) return plan;
-    let poor: Dispatched<WholeAnswer> | undefined;
+    let fallback: Dispatched<WholeAnswer> | undefined;
     let lastError: RequestError | undefined;
     for (const step of plan.value) {
-      const tried = await this.#deps.modelDispatcher.dispatch(
+      const dispatched = await this.#deps.modelDispatcher.dispatch(
         { ctx, req, step, tried: new Set() },
         (call) => this.#deps.modelServers.chat(call),
       );
-      if (!tried.ok) {
-        // An earlier step may have run, though this one has not.
-        lastError = errorAfter(tried.error, lastError);
-        if (!this.#mayEscalate(tried.error, step)) break;
+      if (!dispatched.ok) {
+        // Reports that the request may have run if any earlier step may have.
+        lastError = errorAfter(dispatched.error, lastError);
+        if (!this.#canEscalate(dispatched.error, step)) break;
         continue;
       }
-      tried.value.done("answered");
-      if (isGood(tried.value.answer.answer, step)) {
-        return ok(this.#pass(tried.value, req));
+      dispatched.value.done("answered");
+      if (isAcceptable(dispatched.value.answer.answer, step)) {
+        return ok(this.#recordAnswer(dispatched.value, req));
       }
       this.#countEscalation(step, "poor");
-      poor = tried.value;
+      fallback = dispatched.value;
     }
-    // A poor answer is still better than none.
-    if (poor !== undefined) return ok(this.#pass(poor, req));
+    // An answer with low confidence is better than none.
+    if (fallback !== undefined) return ok(this.#recordAnswer(fallback, req));
     return fail(lastError as RequestError);
   }
 
-  /** Passes a streamed answer to `sink`; an error is returned only before it starts. */
+  /** Streams the answer to `sink`; returns an error only if nothing has been sent. */
   async stream(
     ctx: RequestContext,
     { req, sink }: { req: ChatRequest; sink: ChatSink },
   ): Promise<Result<undefined, RequestError>> {
     const plan = this.#deps.backendSelector.plan(ctx, req.model);
     if (!plan.ok) return plan;
-    let poor: HeldStream | undefined;
+    let fallback: LowConfidenceStream | undefined;
     let lastError: RequestError | undefined;
-    const giveUp = () => {
-      if (poor !== undefined) this.#giveUp(poor, ctx);
-      poor = undefined;
+    const dropFallback = () => {
+      if (fallback !== undefined) this.#abandon(fallback, ctx);
+      fallback = undefined;
     };
-    // By then there is something better than a poor beginning.
-    const onGood = giveUp;
-    // Two runs at one server have one id: a later cancel would end the next one as well, and
-    // the next one may be waiting for the connection or the place of the first.
-    const onAsk = ({ id }: BackendServer) => {
-      if (poor?.dispatched.target.server.id === id) giveUp();
+    // The fallback is no longer needed once a stream passes the confidence check.
+    const onConfident = dropFallback;
+    // Both runs at a server would have the same request id: cancelling the first later would
+    // also end the second, which may itself be waiting for the connection or slot of the first.
+    const beforeSend = ({ id }: BackendServer) => {
+      if (fallback?.dispatched.target.server.id === id) dropFallback();
     };
     for (const step of plan.value) {
       const outcome = await this.#streamStep(
         { ctx, req, step, tried: new Set() },
-        { ctx, sink, onAsk, onGood },
+        { ctx, sink, beforeSend, onConfident },
       );
       if (outcome.tag === "passed") return ok(undefined);
       if (outcome.tag === "poor") {
         this.#countEscalation(step, "poor");
-        giveUp();
-        poor = outcome.held;
-        lastError = { tag: "stream_cut", reason: "its beginning was poor" };
+        dropFallback();
+        fallback = outcome.stream;
+        lastError = {
+          tag: "stream_cut",
+          reason: "low confidence at its beginning",
+        };
         continue;
       }
-      // An earlier step may have run, though this one has not.
+      // Reports that the request may have run if any earlier step may have.
       lastError = errorAfter(outcome.error, lastError);
-      if (!this.#mayEscalate(outcome.error, step)) break;
+      if (!this.#canEscalate(outcome.error, step)) break;
     }
-    // A poor answer is still better than none.
-    if (poor !== undefined) return await this.#passOn(poor, ctx);
+    // An answer with low confidence is better than none.
+    if (fallback !== undefined) return await this.#forwardAnyway(fallback, ctx);
     return fail(lastError as RequestError);
   }
 
-  /** A stream that is cut before its first event reached the caller is asked for again. */
+  /** Runs one step; retries a stream that is cut before its first event is sent to the caller. */
   async #streamStep(
     input: StepInput,
     options: RelayOptions,
@@ -153,12 +156,12 @@
       const dispatched = await this.#deps.modelDispatcher.dispatch<ChatStream>(
         input,
         (call) => {
-          options.onAsk(call.server);
+          options.beforeSend(call.server);
           return this.#deps.modelServers.stream(call);
         },
       );
       if (!dispatched.ok) {
-        // A server ran the stream that was cut, whatever kept it from the next.
+        // The request may have run: a server had started the stream that was cut.
         return { tag: "cut", error: errorAfter(dispatched.error, cut) };
       }
       const result = await this.#relay(dispatched.value, options);
@@ -172,7 +175,7 @@
 
   async #relay(
     dispatched: Dispatched<ChatStream>,
-    { ctx, sink, onGood }: RelayOptions,
+    { ctx, sink, onConfident }: RelayOptions,
   ): Promise<StepResult> {
     const relay = new StreamRelay({
       entryMetrics: this.#deps.entryMetrics,
@@ -180,36 +183,36 @@
       stream: dispatched.answer,
       deadline: ctx.deadline,
       sink,
-      onGood,
+      onConfident,
     });
     const outcome = await relay.run();
     const { result } = outcome;
     if (result.tag === "poor") {
-      return { tag: "poor", held: { dispatched, relay, outcome } };
+      return { tag: "poor", stream: { dispatched, relay, outcome } };
     }
-    this.#settle(dispatched, { ctx, outcome });
+    this.#finishAttempt(dispatched, { ctx, outcome });
     return result;
   }
 
-  async #passOn(
-    { dispatched, relay }: HeldStream,
+  async #forwardAnyway(
+    { dispatched, relay }: LowConfidenceStream,
     ctx: RequestContext,
   ): Promise<Result<undefined, RequestError>> {
-    const outcome = await relay.passOn();
-    this.#settle(dispatched, { ctx, outcome });
+    const outcome = await relay.forwardAnyway();
+    this.#finishAttempt(dispatched, { ctx, outcome });
     const { result } = outcome;
     return result.tag === "cut" ? fail(result.error) : ok(undefined);
   }
 
-  #giveUp(
-    { dispatched, relay, outcome }: HeldStream,
+  #abandon(
+    { dispatched, relay, outcome }: LowConfidenceStream,
     ctx: RequestContext,
   ): void {
     void relay.close();
-    this.#settle(dispatched, { ctx, outcome });
+    this.#finishAttempt(dispatched, { ctx, outcome });
   }
 
-  #settle(
+  #finishAttempt(
     dispatched: Dispatched<ChatStream>,
     { ctx, outcome }: { ctx: RequestContext; outcome: RelayOutcome },
   ): void {
@@ -219,14 +222,19 @@
     }
   }
 
-  /** Later steps are no help to a caller that has gone or has no time left. */
-  #mayEscalate(err: RequestError, step: CascadeStep): boolean {
+  /**
+   * Whether to try the next step; false if the caller has disconnected or the deadline has expired.
+   */
+  #canEscalate(err: RequestError, step: CascadeStep): boolean {
     if (err.tag === "cancelled" || err.tag === "deadline") return false;
     if (step.escalation !== undefined) this.#countEscalation(step, err.tag);
     return true;
   }
 
-  #pass(dispatched: Dispatched<WholeAnswer>, req: ChatRequest): ServedAnswer {
+  #recordAnswer(
+    dispatched: Dispatched<WholeAnswer>,
+    req: ChatRequest,
+  ): ServedAnswer {
     const { target, answer } = dispatched;
     const labels = { model: target.step.model.id, version: target.version.id };
     this.#deps.entryMetrics.answers.inc(labels);
@@ -240,7 +248,7 @@
   }
 }
 
-function isGood(answer: ChatAnswer, step: CascadeStep): boolean {
+function isAcceptable(answer: ChatAnswer, step: CascadeStep): boolean {
   const choice = answer.choices[0];
   if (step.escalation === undefined || choice === undefined) return true;
   return isConfidentAnswer({
@@ -250,7 +258,7 @@
   }, step.escalation);
 }
 
-/** Takes out log-probabilities that the caller did not ask for. */
+/** Removes log-probabilities that the caller did not request. */
 function servedAnswer(
   { target, answer }: Dispatched<WholeAnswer>,
   req: ChatRequest,
--- a/src/entry/client_error.ts
+++ b/src/entry/client_error.ts
@@ -1,4 +1,4 @@
-/** Answers to what is not a whole HTTP request, for which there is no reply object. */
+/** Replies to incomplete or invalid HTTP requests, for which there is no reply object. */
 
 import { Buffer } from "node:buffer";
 import { STATUS_CODES } from "node:http";
@@ -7,14 +7,14 @@
 import { type RequestError, statusOf } from "../core/request_error.ts";
 import { errorBody } from "./error_reply.ts";
 
-/** What went wrong, and for how long a request may last. */
+/** The error, and the time limit for receiving a request. */
 export interface ClientErrorInput {
   readonly err: NodeJS.ErrnoException;
   readonly requestId: RequestId;
   readonly limitMs: number;
 }
 
-/** Writes an error to the socket in the form of all errors, and closes it. */
+/** Writes an error response with the common error body to the socket and closes it. */
 export function answerClientError(
   socket: Socket,
   input: ClientErrorInput,
@@ -40,7 +40,7 @@
       return {
         tag: "malformed",
         where: "headers",
-        reason: "they are too large",
+        reason: "they exceed the size limit",
       };
     default:
       return { tag: "malformed", where: "request", reason: err.message };
--- a/src/entry/entry_container.ts
+++ b/src/entry/entry_container.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of an entry together. */
+/** Dependency injection container of an entry. */
 
 import {
   asClass,
@@ -9,7 +9,7 @@
   InjectionMode,
 } from "awilix";
 import { Agent } from "undici";
-import { FreshnessKeeper } from "../configuration/freshness_keeper.ts";
+import { FreshnessMonitor } from "../configuration/freshness_monitor.ts";
 import { HolderReporter } from "../configuration/holder_reporter.ts";
 import { HttpModelServers } from "../backends/http_model_servers.ts";
 import { HttpPlainServices } from "../backends/http_plain_services.ts";
@@ -36,32 +36,32 @@
 import { SocketMeter } from "../runtime/socket_meter.ts";
 import type { Logger } from "../runtime/logger.ts";
 import { AddressBook } from "./address_book.ts";
-import { Admission } from "./admission.ts";
+import { RequestRunner } from "./request_runner.ts";
 import { BackendSelector } from "./backend_selector.ts";
-import { CallerGate } from "./caller_gate.ts";
+import { AdmissionController } from "./admission_controller.ts";
 import { CallerServer } from "./caller_server.ts";
 import { ChatEndpoint } from "./chat_endpoint.ts";
 import { ChatService } from "./chat_service.ts";
-import { ConfigurationFollower } from "../configuration/configuration_follower.ts";
+import { HeadFollower } from "../configuration/head_follower.ts";
 import { ConfigurationLoader } from "../configuration/configuration_loader.ts";
 import { LoadReportFollower } from "./load_report_follower.ts";
 import { ModelDispatcher } from "./model_dispatcher.ts";
 import { OperatorServer } from "./operator_server.ts";
-import { asPart } from "./remembered_parts.ts";
+import { asComponent } from "./component_resolver.ts";
 import { ServiceDispatcher } from "./service_dispatcher.ts";
 import { ServiceEndpoint } from "./service_endpoint.ts";
 import { VmListFollower } from "./vm_list_follower.ts";
 
-/** What an entry is built from. */
+/** Options of an entry. */
 export interface EntryOptions {
   readonly settings: Settings;
-  /** Secret that entry VMs share. */
+  /** Shared secret that authenticates entry VMs to each other. */
   readonly peerSecret: string;
   readonly logger: Logger;
 }
 
-/** Parts that the process starts and stops, by name. */
-export interface EntryParts {
+/** Components that the process uses directly, by their names in the container. */
+export interface EntryComponents {
   readonly clock: Clock;
   readonly memberTable: MemberTable;
   readonly configurationStore: ConfigurationStore;
@@ -70,8 +70,8 @@
   readonly platform: HttpPlatform;
   readonly peers: TrpcPeers;
   readonly prober: Prober;
-  readonly configurationFollower: ConfigurationFollower;
-  readonly freshnessKeeper: FreshnessKeeper;
+  readonly headFollower: HeadFollower;
+  readonly freshnessMonitor: FreshnessMonitor;
   readonly holderReporter: HolderReporter;
   readonly vmListFollower: VmListFollower;
   readonly loadReportFollower: LoadReportFollower;
@@ -80,11 +80,11 @@
   readonly operatorServer: OperatorServer;
 }
 
-/** Returns a container with all parts of one entry. */
+/** Creates a container with all components of an entry. */
 export function createEntryContainer(
   options: EntryOptions,
-): AwilixContainer<EntryParts> {
-  const container = createContainer<EntryParts>({
+): AwilixContainer<EntryComponents> {
+  const container = createContainer<EntryComponents>({
     injectionMode: InjectionMode.PROXY,
     strict: true,
   });
@@ -120,7 +120,7 @@
         ...entry,
         callers: listen.callers,
         peers: listen.peers,
-        // Grows with each start, as no state outlives the process.
+        // The wall clock increases with each start; no state outlives the process.
         incarnation: clock.wallMs(),
         state: "alive",
         revision: NO_REVISION,
@@ -148,10 +148,10 @@
         meter: platformMeter,
       })
     ).singleton(),
-    peers: asPart(TrpcPeers),
-    relayRole: asPart(RelayRole),
+    peers: asComponent(TrpcPeers),
+    relayRole: asComponent(RelayRole),
     vmViewHolder: asClass(VmViewHolder).singleton(),
-    prober: asPart(Prober),
+    prober: asComponent(Prober),
     probeFor: asFunction(({ prober }: { prober: Prober }) => (target: string) =>
       prober.probeFor(target)
     ).singleton(),
@@ -161,23 +161,23 @@
     plainServices: asFunction(({ backendDispatcher }) =>
       new HttpPlainServices(backendDispatcher)
     ).singleton(),
-    configurationLoader: asPart(ConfigurationLoader),
-    configurationFollower: asPart(ConfigurationFollower),
-    freshnessKeeper: asPart(FreshnessKeeper),
-    holderReporter: asPart(HolderReporter),
-    vmListFollower: asPart(VmListFollower),
-    loadReportFollower: asPart(LoadReportFollower),
-    backendSelector: asPart(BackendSelector),
-    modelDispatcher: asPart(ModelDispatcher),
-    serviceDispatcher: asPart(ServiceDispatcher),
-    chatService: asPart(ChatService),
-    callerGate: asPart(CallerGate),
-    admission: asPart(Admission),
-    chatEndpoint: asPart(ChatEndpoint),
-    serviceEndpoint: asPart(ServiceEndpoint),
-    addressBook: asPart(AddressBook),
-    callerServer: asPart(CallerServer),
-    peerServer: asPart(PeerServer),
-    operatorServer: asPart(OperatorServer),
+    configurationLoader: asComponent(ConfigurationLoader),
+    headFollower: asComponent(HeadFollower),
+    freshnessMonitor: asComponent(FreshnessMonitor),
+    holderReporter: asComponent(HolderReporter),
+    vmListFollower: asComponent(VmListFollower),
+    loadReportFollower: asComponent(LoadReportFollower),
+    backendSelector: asComponent(BackendSelector),
+    modelDispatcher: asComponent(ModelDispatcher),
+    serviceDispatcher: asComponent(ServiceDispatcher),
+    chatService: asComponent(ChatService),
+    admissionController: asComponent(AdmissionController),
+    requestRunner: asComponent(RequestRunner),
+    chatEndpoint: asComponent(ChatEndpoint),
+    serviceEndpoint: asComponent(ServiceEndpoint),
+    addressBook: asComponent(AddressBook),
+    callerServer: asComponent(CallerServer),
+    peerServer: asComponent(PeerServer),
+    operatorServer: asComponent(OperatorServer),
   });
 }
--- a/src/entry/error_reply.ts
+++ b/src/entry/error_reply.ts
@@ -1,4 +1,4 @@
-/** Answers a request with an error, in the one form that all errors have. */
+/** Replies to requests with errors in the common format. */
 
 import type { FastifyReply } from "fastify";
 import type { RequestId } from "../core/ids.ts";
@@ -12,7 +12,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Body of every error. */
+/** Body of every error reply. */
 export interface ErrorBody {
   readonly error: {
     readonly code: RequestError["tag"];
@@ -20,14 +20,14 @@
     /** `"no"` only when no byte of the request was sent to a backend server. */
     readonly ran: "no" | "maybe";
     readonly request_id: RequestId;
-    /** When to come back, where coming back helps. */
+    /** Delay before a retry, in milliseconds; absent if a retry does not help. */
     readonly retry_after_ms?: number;
-    /** Part of the request that is at fault. */
+    /** Part of the request that is invalid. */
     readonly where?: string;
   };
 }
 
-/** Returns the body for an error. */
+/** Creates the body for an error. */
 export function errorBody(err: RequestError, requestId: RequestId): ErrorBody {
   return {
     error: {
@@ -41,7 +41,7 @@
   };
 }
 
-/** Sends an error. */
+/** Sends an error reply. */
 export function replyError(
   reply: FastifyReply,
   { err, requestId }: { err: RequestError; requestId: RequestId },
--- a/src/entry/http_chat_sink.ts
+++ b/src/entry/http_chat_sink.ts
@@ -9,7 +9,7 @@
 import { errorBody } from "./error_reply.ts";
 import type { ChatSink } from "./stream_relay.ts";
 
-/** A sink over one HTTP response; waits for slow callers instead of buffering. */
+/** Writes to one HTTP response; applies backpressure for slow callers instead of buffering. */
 export class HttpChatSink implements ChatSink {
   readonly #res: ServerResponse;
   readonly #requestId: RequestId;
@@ -53,7 +53,7 @@
     if (this.#res.destroyed) return false;
     const text = data.map((event) => `data: ${event}\n\n`).join("");
     if (text === "" || this.#res.write(text)) return true;
-    return await this.#drained();
+    return await this.#waitUntilWritable();
   }
 
   end(): void {
@@ -66,23 +66,23 @@
     this.#res.end(`event: error\ndata: ${body}\n\n`);
   }
 
-  #drained(): Promise<boolean> {
+  #waitUntilWritable(): Promise<boolean> {
     return new Promise((resolve) => {
       const settle = (writable: boolean) => {
         this.#res.off("drain", onDrain);
-        this.#res.off("close", onGone);
-        this.#deadline.signal.removeEventListener("abort", onGone);
+        this.#res.off("close", onCloseOrAbort);
+        this.#deadline.signal.removeEventListener("abort", onCloseOrAbort);
         resolve(writable);
       };
       const onDrain = () => settle(true);
-      const onGone = () => {
-        // A caller too slow to read its answer in time loses the connection.
+      const onCloseOrAbort = () => {
+        // Disconnects a caller that does not read its answer before the deadline.
         this.#res.destroy();
         settle(false);
       };
       this.#res.once("drain", onDrain);
-      this.#res.once("close", onGone);
-      this.#deadline.signal.addEventListener("abort", onGone);
+      this.#res.once("close", onCloseOrAbort);
+      this.#deadline.signal.addEventListener("abort", onCloseOrAbort);
     });
   }
 }
--- a/src/entry/json_body.ts
+++ b/src/entry/json_body.ts
@@ -1,11 +1,11 @@
-/** Reads JSON bodies of callers, with errors that say where. */
+/** Parses JSON request bodies; errors name the invalid field. */
 
 import { type Buffer, isUtf8 } from "node:buffer";
 import type * as z from "zod";
 import type { RequestError } from "../core/request_error.ts";
 import { fail, ok, type Result } from "../core/result.ts";
 
-/** Parses and checks a body. */
+/** Parses a body and validates it against a schema. */
 export function parseJsonBody<T>(
   body: Buffer | undefined,
   schema: z.ZodType<T>,
@@ -25,7 +25,7 @@
   const issue = parsed.error.issues[0];
   return malformed(
     issue?.path.join(".") || "body",
-    issue?.message ?? "unknown form",
+    issue?.message ?? "invalid value",
   );
 }
 
--- a/src/entry/load_report_follower.ts
+++ b/src/entry/load_report_follower.ts
@@ -1,4 +1,4 @@
-/** Asks model servers for their load, one after another, within a budget. */
+/** Fetches load reports from model servers in rotation, within a request budget. */
 
 import type { ModelServers } from "../backends/model_servers.ts";
 import type { BackendServer } from "../core/config/configuration.ts";
@@ -19,8 +19,8 @@
 }
 
 /**
- * Keeps load reports of the used model servers as fresh as the budget allows: where
- * there are many servers, each is asked more rarely.
+ * Keeps load reports of the model servers in use as fresh as the budget allows: the more servers
+ * there are, the less often each is queried.
  */
 export class LoadReportFollower {
   readonly #deps: Deps;
@@ -33,12 +33,10 @@
     this.#task = new RepeatedTask({ intervalMs, run: () => this.#refresh() });
   }
 
-  /** Starts to ask. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to ask. */
   stop(): void {
     this.#task.stop();
   }
@@ -51,15 +49,15 @@
       reports_per_second * report_interval_ms / MS_PER_SECOND,
     );
     if (this.#queue.length === 0) {
-      this.#queue = this.#deps.backendSelector.usedModelServers();
+      this.#queue = this.#deps.backendSelector.modelServersInUse();
     }
     const servers = this.#queue.splice(0, Math.floor(budget));
-    await Promise.all(servers.map((server) => this.#ask(server)));
+    await Promise.all(servers.map((server) => this.#fetchLoad(server)));
   }
 
-  async #ask(server: BackendServer): Promise<void> {
+  async #fetchLoad(server: BackendServer): Promise<void> {
     const { modelServers, serverPool, clock } = this.#deps;
-    // One that rests wants nothing, and its load decides nothing meanwhile.
+    // A server in backoff should get no requests, and its load does not affect selection.
     if (serverPool.isBackingOff(server.id, clock.monotonicMs())) return;
     const load = await modelServers.load(server);
     if (!load.ok) return;
--- a/src/entry/model_dispatcher.ts
+++ b/src/entry/model_dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends one step of a plan to model servers, with retries, until one answers. */
+/** Sends one cascade step to model servers, with retries, until one answers. */
 
 import type { BackendError } from "../backends/backend_error.ts";
 import type { ModelCall, ModelServers } from "../backends/model_servers.ts";
@@ -16,30 +16,30 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { BackendSelector, Target } from "./backend_selector.ts";
 import type { RequestContext } from "./request_context.ts";
-import { mayRetry, requestErrorOf, tryOutcomeOf } from "./retry_policy.ts";
+import { attemptOutcomeOf, mayRetry, requestErrorOf } from "./retry_policy.ts";
 
-/** Servers that one step is tried on, at most. */
-const MAX_TRIES = 3;
+/** Maximum number of servers attempted per step. */
+const MAX_ATTEMPTS = 3;
 
-/** A request and the step to take with it. */
+/** A request and the cascade step to run. */
 export interface StepInput {
   readonly ctx: RequestContext;
   readonly req: ChatRequest;
   readonly step: CascadeStep;
-  /** Servers that were tried for this step already; grows with each try. */
+  /** Servers already attempted for this step; each attempt adds one. */
   readonly tried: Set<BackendId>;
 }
 
-/** An answer and who gave it. Call `done` once its work has ended. */
+/** An answer and its source. Call `done` when the server has finished the request. */
 export interface Dispatched<T> {
   readonly target: Target;
   readonly answer: T;
-  /** Ends the count of the request at its server. */
+  /** Records the outcome and the end of the request at its server. */
   readonly done: (outcome: AttemptOutcome) => void;
 }
 
-/** How an answer is asked for: whole or as a stream. */
-export type Ask<T> = (call: ModelCall) => Promise<Result<T, BackendError>>;
+/** Sends a call for a complete answer or for a stream. */
+export type SendCall<T> = (call: ModelCall) => Promise<Result<T, BackendError>>;
 
 interface Deps {
   readonly backendSelector: BackendSelector;
@@ -50,7 +50,7 @@
   readonly clock: Clock;
 }
 
-/** Tries the servers of one step after another. */
+/** Attempts the servers of a step one after another. */
 export class ModelDispatcher {
   readonly #deps: Deps;
 
@@ -58,20 +58,20 @@
     this.#deps = deps;
   }
 
-  /** Returns the first answer, or why there is none. */
+  /** Returns the first answer, or the error that ended the attempts. */
   async dispatch<T>(
     input: StepInput,
-    ask: Ask<T>,
+    send: SendCall<T>,
   ): Promise<Result<Dispatched<T>, RequestError>> {
     const { tried } = input;
     let sentBefore = false;
     let lastError: RequestError | undefined;
     this.#deps.retryBudget.deposit();
-    while (tried.size < MAX_TRIES) {
+    while (tried.size < MAX_ATTEMPTS) {
       const target = this.#nextTarget(input);
       if (!target.ok) return lastError === undefined ? target : fail(lastError);
       tried.add(target.value.server.id);
-      const answer = await this.#tryOnce(target.value, { input, ask });
+      const answer = await this.#attempt(target.value, { input, send });
       if (answer.ok) return answer;
       const { deadline } = input.ctx;
       lastError = requestErrorOf(answer.error, { deadline, sentBefore });
@@ -79,10 +79,12 @@
       const budget = this.#deps.retryBudget;
       if (!mayRetry(answer.error, { repeatable: true, budget })) break;
     }
-    return fail(lastError ?? noMoreTries(input.step));
+    return fail(lastError ?? attemptsExhausted(input.step));
   }
 
-  /** A retry must still be allowed by the configuration that is in force by then. */
+  /**
+   * Selects the next server; a retry must be allowed by the configuration in force at that time.
+   */
   #nextTarget(
     { ctx, req, step, tried }: StepInput,
   ): Result<Target, RequestError> {
@@ -92,7 +94,7 @@
     if (current === undefined) {
       return fail({ tag: "not_allowed", name: req.model });
     }
-    return this.#deps.backendSelector.target(
+    return this.#deps.backendSelector.selectTarget(
       { ...step, model: current.model },
       {
         ctx,
@@ -101,21 +103,21 @@
     );
   }
 
-  async #tryOnce<T>(
+  async #attempt<T>(
     target: Target,
-    { input, ask }: { input: StepInput; ask: Ask<T> },
+    { input, send }: { input: StepInput; send: SendCall<T> },
   ): Promise<Result<Dispatched<T>, BackendError>> {
     const { serverPool, clock, entryMetrics } = this.#deps;
     const { server } = target;
     serverPool.begin(server.id);
     const done = (outcome: AttemptOutcome) =>
       serverPool.end(server.id, { outcome, nowMs: clock.monotonicMs() });
-    const answer = await ask(modelCall(target, input));
+    const answer = await send(createModelCall(target, input));
     entryMetrics.attempts.inc({
       outcome: answer.ok ? "answered" : answer.error.tag,
     });
     if (answer.ok) return ok({ target, answer: answer.value, done });
-    done(tryOutcomeOf(answer.error));
+    done(attemptOutcomeOf(answer.error));
     if (answer.error.tag === "rejected") {
       const { restMs } = answer.error;
       serverPool.backOff(server.id, { restMs, nowMs: clock.monotonicMs() });
@@ -127,15 +129,18 @@
   }
 }
 
-function noMoreTries(step: CascadeStep): RequestError {
-  const reason = `${MAX_TRIES} servers of ${step.model.id} failed`;
+function attemptsExhausted(step: CascadeStep): RequestError {
+  const reason =
+    `${MAX_ATTEMPTS} attempts at servers of ${step.model.id} failed`;
   return { tag: "backend_failed", reason, ran: "maybe" };
 }
 
-function modelCall(target: Target, { ctx, req }: StepInput): ModelCall {
+function createModelCall(target: Target, { ctx, req }: StepInput): ModelCall {
   const model = `${target.step.model.id}@${target.version.id}`;
-  const judged = target.step.escalation !== undefined;
-  const body = judged ? { ...req, model, logprobs: true } : { ...req, model };
+  const checksConfidence = target.step.escalation !== undefined;
+  const body = checksConfidence
+    ? { ...req, model, logprobs: true }
+    : { ...req, model };
   return {
     server: target.server,
     requestId: ctx.requestId,
--- a/src/entry/operator_server.ts
+++ b/src/entry/operator_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that operators and their metrics system use. */
+/** HTTP server for operators and their metrics system. */
 
 import fastify, { type FastifyInstance } from "fastify";
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
@@ -20,7 +20,7 @@
   readonly platformMeter: SocketMeter;
 }
 
-/** Serves operators. */
+/** Serves health, status and metrics to operators. */
 export class OperatorServer {
   readonly #deps: Deps;
   readonly #http: FastifyInstance;
@@ -32,23 +32,23 @@
     this.#http.get("/status", () => this.#status());
     this.#http.get("/metrics", async (_req, reply) => {
       const { registry } = this.#deps.entryMetrics;
-      this.#measureTraffic();
+      this.#updateTrafficMetrics();
       void reply.header("content-type", registry.contentType);
       return await registry.metrics();
     });
   }
 
-  /** Starts to listen; returns the address in use. */
+  /** Starts listening; returns the bound address. */
   async listen(): Promise<string> {
     return await listenHttp(this.#http, this.#deps.settings.listen.operators);
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     await this.#http.close();
   }
 
-  #measureTraffic(): void {
+  #updateTrafficMetrics(): void {
     const { entryMetrics, peerMeter, platformMeter } = this.#deps;
     const meters = { peers: peerMeter, platform: platformMeter };
     for (const [link, meter] of Object.entries(meters)) {
--- a/src/entry/retry_policy.ts
+++ b/src/entry/retry_policy.ts
@@ -1,4 +1,4 @@
-/** Decides whether a failed try may be followed by another. */
+/** Decides whether a failed attempt may be retried. */
 
 import type { BackendError } from "../backends/backend_error.ts";
 import { describeBackendError } from "../backends/backend_error.ts";
@@ -7,11 +7,11 @@
 import type { AttemptOutcome } from "../core/routing/server_pool.ts";
 import type { Deadline } from "../runtime/deadline.ts";
 
-/** Statuses that speak of the request, not of the server. */
-const FIRST_SERVER_ERROR = 500;
-const TOO_MANY_REQUESTS = 429;
+/** Statuses from here on, and 429, are failures of the server; others are caused by the request. */
+const MIN_SERVER_ERROR_STATUS = 500;
+const TOO_MANY_REQUESTS_STATUS = 429;
 
-/** Whether another server may be tried after `err`. */
+/** Whether another server may be attempted after `err`. */
 export function mayRetry(
   err: BackendError,
   { repeatable, budget }: { repeatable: boolean; budget: EntryRetryBudget },
@@ -22,22 +22,22 @@
     case "aborted":
       return false;
     case "rejected":
-      return repeatable && isServersFault(err.status) && budget.tryWithdraw();
+      return repeatable && isServerFailure(err.status) && budget.tryWithdraw();
     case "failed":
     case "wrong_answer":
       return repeatable && budget.tryWithdraw();
   }
 }
 
-/** What a failed try says about the health of its server. */
-export function tryOutcomeOf(err: BackendError): AttemptOutcome {
+/** Returns the outcome of a failed attempt, as it affects the health of its server. */
+export function attemptOutcomeOf(err: BackendError): AttemptOutcome {
   if (err.tag === "refused") return "refused";
   if (err.tag === "aborted") return "answered";
-  if (err.tag === "rejected" && !isServersFault(err.status)) return "answered";
+  if (err.tag === "rejected" && !isServerFailure(err.status)) return "answered";
   return "failed";
 }
 
-/** Turns the error of the last try into the answer to the caller. */
+/** Converts the error of the last attempt into the error for the caller. */
 export function requestErrorOf(
   err: BackendError,
   { deadline, sentBefore }: { deadline: Deadline; sentBefore: boolean },
@@ -52,6 +52,7 @@
   return { tag: "deadline", limitMs: deadline.limitMs, ran };
 }
 
-function isServersFault(status: number): boolean {
-  return status >= FIRST_SERVER_ERROR || status === TOO_MANY_REQUESTS;
+function isServerFailure(status: number): boolean {
+  return status >= MIN_SERVER_ERROR_STATUS ||
+    status === TOO_MANY_REQUESTS_STATUS;
 }
--- a/src/entry/service_dispatcher.ts
+++ b/src/entry/service_dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends calls to plain services; those that may not be repeated go out once. */
+/** Sends calls to plain services; calls that are not repeatable are sent only once. */
 
 import type { BackendError } from "../backends/backend_error.ts";
 import type {
@@ -19,26 +19,26 @@
 import type { Clock } from "../runtime/clock.ts";
 import type { BackendSelector } from "./backend_selector.ts";
 import type { RequestContext } from "./request_context.ts";
-import { mayRetry, requestErrorOf, tryOutcomeOf } from "./retry_policy.ts";
+import { attemptOutcomeOf, mayRetry, requestErrorOf } from "./retry_policy.ts";
 
-/** Servers that a call is tried on, at most. */
-const MAX_TRIES = 3;
+/** Maximum number of servers attempted per call. */
+const MAX_ATTEMPTS = 3;
 
-/** A caller's call of a plain service. */
+/** A caller's request to a plain service. */
 export interface ServiceRequest {
   readonly ctx: RequestContext;
-  /** Name of the service, as the caller gave it. */
+  /** Name of the service in the request. */
   readonly name: string;
   readonly method: string;
   /** Path below the service, without dot segments. */
   readonly path: string;
-  /** Query with its question mark, or empty. */
+  /** Query string with its question mark, or an empty string. */
   readonly query: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array | undefined;
 }
 
-/** Where a call goes next, and by which rule. */
+/** The server of the next attempt, and the route that matches the call. */
 interface ServiceTarget {
   readonly server: BackendServer;
   readonly route: ServiceRoute;
@@ -61,7 +61,7 @@
     this.#deps = deps;
   }
 
-  /** Returns the service's answer, or why there is none. */
+  /** Returns the answer of the service, or the error that ended the attempts. */
   async dispatch(
     req: ServiceRequest,
   ): Promise<Result<ServiceAnswer, RequestError>> {
@@ -71,12 +71,12 @@
     let sentBefore = false;
     let lastError: RequestError | undefined;
     budget.deposit();
-    while (tried.size < MAX_TRIES) {
+    while (tried.size < MAX_ATTEMPTS) {
       const target = this.#nextTarget(req, tried);
       if (!target.ok) return fail(lastError ?? target.error);
       const { server, route } = target.value;
       tried.add(server.id);
-      const answer = await this.#tryOnce(server, req);
+      const answer = await this.#attempt(server, req);
       if (answer.ok) return answer;
       lastError = requestErrorOf(answer.error, { deadline, sentBefore });
       sentBefore ||= answer.error.tag !== "refused";
@@ -87,7 +87,9 @@
     return fail(lastError as RequestError);
   }
 
-  /** A retry must still be allowed by the configuration that is in force by then. */
+  /**
+   * Selects the next server; a retry must be allowed by the configuration in force at that time.
+   */
   #nextTarget(
     req: ServiceRequest,
     tried: ReadonlySet<BackendId>,
@@ -99,14 +101,14 @@
       const { method, path } = req;
       return fail({ tag: "unknown_route", method, path });
     }
-    const server = this.#deps.backendSelector.serviceServer(
+    const server = this.#deps.backendSelector.selectServiceServer(
       service.value.id,
       tried,
     );
     return server.ok ? ok({ server: server.value, route }) : server;
   }
 
-  async #tryOnce(
+  async #attempt(
     server: BackendServer,
     { ctx, method, path, query, headers, body }: ServiceRequest,
   ): Promise<Result<ServiceAnswer, BackendError>> {
@@ -121,7 +123,7 @@
       body,
       deadline: ctx.deadline,
     });
-    const outcome = answer.ok ? "answered" : tryOutcomeOf(answer.error);
+    const outcome = answer.ok ? "answered" : attemptOutcomeOf(answer.error);
     const nowMs = clock.monotonicMs();
     serverPool.end(server.id, { outcome, nowMs });
     if (answer.ok) {
@@ -134,7 +136,9 @@
   }
 }
 
-/** The longest matching path wins, so that a narrower route can be stricter. */
+/**
+ * Returns the matching route with the longest path, so that a more specific route can be stricter.
+ */
 function findRoute(
   { routes }: PlainService,
   { method, path }: ServiceRequest,
--- a/src/entry/service_endpoint.ts
+++ b/src/entry/service_endpoint.ts
@@ -1,15 +1,15 @@
-/** `/services/NAME/...`: calls that are passed on to plain services. */
+/** HTTP endpoint `/services/NAME/...`, which forwards calls to plain services. */
 
 import type { Buffer } from "node:buffer";
 import type { FastifyReply, FastifyRequest } from "fastify";
-import type { Admission } from "./admission.ts";
+import type { RequestRunner } from "./request_runner.ts";
 import type { ServiceDispatcher } from "./service_dispatcher.ts";
 
-/** Path under which plain services are called. */
+/** Path prefix of plain services. */
 export const SERVICES_PREFIX = "/services/";
 
-/** Headers of a caller that a plain service gets to see. */
-const PASSED_HEADERS = [
+/** Request headers that are forwarded to plain services. */
+const FORWARDED_HEADERS = [
   "content-type",
   "accept",
   "accept-language",
@@ -17,11 +17,11 @@
 ];
 
 interface Deps {
-  readonly admission: Admission;
+  readonly requestRunner: RequestRunner;
   readonly serviceDispatcher: ServiceDispatcher;
 }
 
-/** Takes calls of plain services from HTTP and puts their answers back. */
+/** Handles calls of plain services. */
 export class ServiceEndpoint {
   readonly #deps: Deps;
 
@@ -29,13 +29,13 @@
     this.#deps = deps;
   }
 
-  /** Answers one call. */
+  /** Handles one call. */
   async handle(
     req: FastifyRequest,
     reply: FastifyReply,
   ): Promise<FastifyReply> {
-    const { admission, serviceDispatcher } = this.#deps;
-    return await admission.admit(
+    const { requestRunner, serviceDispatcher } = this.#deps;
+    return await requestRunner.run(
       { req, reply, kind: "service" },
       async (ctx) => {
         const answer = await serviceDispatcher.dispatch({
@@ -43,7 +43,7 @@
           name: (req.params as { name: string }).name,
           method: req.method,
           ...pathBelowService(req.url),
-          headers: passedHeaders(req),
+          headers: forwardedHeaders(req),
           body: req.body as Buffer | undefined,
         });
         if (!answer.ok) return answer.error;
@@ -58,20 +58,20 @@
 }
 
 /**
- * Returns the path without dot segments, as it will be sent: `/stock/../stamps` must
- * not pass for a call of `/stock/`.
+ * Returns the path below the service with dot segments resolved, as it will be sent:
+ * `/stock/../stamps` must not match the route `/stock/`.
  */
 export function pathBelowService(url: string): { path: string; query: string } {
-  const below = url.slice(url.indexOf("/", SERVICES_PREFIX.length));
-  const { pathname, search } = new URL(`http://service${below}`);
+  const pathAndQuery = url.slice(url.indexOf("/", SERVICES_PREFIX.length));
+  const { pathname, search } = new URL(`http://service${pathAndQuery}`);
   return { path: pathname, query: search };
 }
 
-function passedHeaders(req: FastifyRequest): Record<string, string> {
-  const passed: Record<string, string> = {};
-  for (const name of PASSED_HEADERS) {
+function forwardedHeaders(req: FastifyRequest): Record<string, string> {
+  const forwarded: Record<string, string> = {};
+  for (const name of FORWARDED_HEADERS) {
     const value = req.headers[name];
-    if (typeof value === "string") passed[name] = value;
+    if (typeof value === "string") forwarded[name] = value;
   }
-  return passed;
+  return forwarded;
 }
--- a/src/entry/stream_relay.ts
+++ b/src/entry/stream_relay.ts
@@ -1,4 +1,4 @@
-/** Passes a stream from a model server to a caller, judging its beginning first. */
+/** Relays a stream from a model server to a caller after a confidence check of its beginning. */
 
 import { describeBackendError } from "../backends/backend_error.ts";
 import type { ChatStream, StreamEvent } from "../backends/model_servers.ts";
@@ -8,28 +8,32 @@
 import type { Deadline } from "../runtime/deadline.ts";
 import type { Target } from "./backend_selector.ts";
 
-/** Where a streamed answer goes. */
+/** Destination of a streamed answer. */
 export interface ChatSink {
   /** Sends the headers; called once, before the first event. */
   start(target: Target): void;
-  /** Sends events; resolves when more may be sent, or `false` when the caller has gone. */
+  /**
+   * Sends events; resolves to true when more can be sent, or to false if the caller disconnected.
+   */
   write(data: readonly string[]): Promise<boolean>;
-  /** Ends a whole answer. */
+  /** Ends a complete answer. */
   end(): void;
-  /** Ends an answer that is not whole, so that nobody takes it for one. */
+  /**
+   * Ends an incomplete answer with an error, so that the caller can tell it from a complete one.
+   */
   fail(err: RequestError): void;
 }
 
-/** How a relayed stream ended, as far as the plan goes. */
+/** Result of a relayed stream, which decides whether the next cascade step is tried. */
 export type RelayResult =
   | { readonly tag: "passed" }
   | { readonly tag: "poor" }
   | { readonly tag: "cut"; readonly error: RequestError };
 
-/** How a relayed stream ended. */
+/** Result of a relayed stream and the state of its server. */
 export interface RelayOutcome {
   readonly result: RelayResult;
-  /** Whether the server has nothing left to do for it. */
+  /** Whether the server has finished the request, so that no cancellation is needed. */
   readonly ended: boolean;
   readonly serverFailed: boolean;
 }
@@ -40,47 +44,49 @@
   readonly deadline: Deadline;
   readonly sink: ChatSink;
   readonly entryMetrics: EntryMetrics;
-  /** Called when a beginning is good enough, just before it goes to the caller. */
-  readonly onGood: () => void;
+  /** Called when the confidence check passes, just before the first event is sent. */
+  readonly onConfident: () => void;
 }
 
-/** One stream on its way to a caller. */
+/** Relay of one stream. */
 export class StreamRelay {
   readonly #deps: Deps;
   readonly #batches: AsyncIterator<readonly StreamEvent[]>;
-  readonly #held: string[] = [];
+  readonly #buffered: string[] = [];
   readonly #logprobs: number[] = [];
   #textLength = 0;
   #tokens = 0;
   #started = false;
   #finished = false;
-  #takesAny = false;
+  #skipsConfidenceCheck = false;
 
   constructor(deps: Deps) {
     this.#deps = deps;
     this.#batches = deps.stream[Symbol.asyncIterator]();
   }
 
-  /** Relays until the end, the first cut, or a poor beginning; that one stays open. */
+  /**
+   * Relays until the end, a cut, or a failed confidence check, after which the stream stays open.
+   */
   async run(): Promise<RelayOutcome> {
     let outcome: RelayOutcome | undefined;
     try {
       while (outcome === undefined) outcome = await this.#relayBatch();
       return outcome;
     } finally {
-      // Nothing better may be to be had, so a poor beginning is kept for `passOn`.
+      // A stream with low confidence stays open as a fallback for `forwardAnyway`.
       if (outcome?.result.tag !== "poor") await this.close();
     }
   }
 
-  /** Relays a poor beginning after all, as soon as its stream shows that it goes on. */
-  async passOn(): Promise<RelayOutcome> {
-    this.#takesAny = true;
-    const whole = this.#finished ? await this.#send() : undefined;
-    return whole ?? await this.run();
+  /** Relays a stream despite low confidence, once its next batch arrives or if it has ended. */
+  async forwardAnyway(): Promise<RelayOutcome> {
+    this.#skipsConfidenceCheck = true;
+    const outcome = this.#finished ? await this.#forward() : undefined;
+    return outcome ?? await this.run();
   }
 
-  /** Reads no further; whoever holds a poor beginning calls it. */
+  /** Stops reading; to be called by the holder of a stream with low confidence. */
   async close(): Promise<void> {
     await this.#batches.return?.();
   }
@@ -90,39 +96,42 @@
     if (next.done === true) {
       return this.#cut({
         tag: "cut",
-        error: { tag: "failed", reason: "no end" },
+        error: { tag: "failed", reason: "stream ended without an end event" },
       });
     }
     const last = next.value[next.value.length - 1];
-    this.#hold(next.value);
+    this.#buffer(next.value);
     if (last?.tag === "cut") return this.#cut(last);
     this.#finished = last?.tag === "end";
-    return await this.#send();
+    return await this.#forward();
   }
 
-  /** Sends what is held if it is good enough; returns nothing while more is to come. */
-  async #send(): Promise<RelayOutcome | undefined> {
+  /**
+   * Sends the buffered events once the confidence check passes; returns undefined while the stream
+   * continues.
+   */
+  async #forward(): Promise<RelayOutcome | undefined> {
     const ended = this.#finished;
     if (!this.#started) {
-      const verdict = this.#judge(ended);
-      if (verdict === "poor") {
+      const confidence = this.#checkConfidence(ended);
+      if (confidence === "poor") {
         return { result: { tag: "poor" }, ended, serverFailed: false };
       }
-      if (verdict === "unknown") return undefined;
+      if (confidence === "unknown") return undefined;
       this.#started = true;
-      if (!this.#takesAny) this.#deps.onGood();
+      if (!this.#skipsConfidenceCheck) this.#deps.onConfident();
       this.#deps.sink.start(this.#deps.target);
     }
-    if (!await this.#deps.sink.write(this.#held.splice(0))) {
+    if (!await this.#deps.sink.write(this.#buffered.splice(0))) {
       return { result: { tag: "passed" }, ended, serverFailed: false };
     }
     return ended ? this.#finish() : undefined;
   }
 
-  #hold(batch: readonly StreamEvent[]): void {
+  #buffer(batch: readonly StreamEvent[]): void {
     for (const event of batch) {
       if (event.tag !== "chunk") continue;
-      this.#held.push(event.text);
+      this.#buffered.push(event.text);
       const choice = event.chunk.choices[0];
       const content = choice?.delta.content ?? "";
       if (content !== "") this.#tokens += 1;
@@ -136,16 +145,16 @@
     }
   }
 
-  #judge(finished: boolean): "good" | "poor" | "unknown" {
+  #checkConfidence(finished: boolean): "good" | "poor" | "unknown" {
     const rules = this.#deps.target.step.escalation;
-    if (rules === undefined || this.#takesAny) return "good";
+    if (rules === undefined || this.#skipsConfidenceCheck) return "good";
     if (!finished && this.#tokens < rules.tokensToJudge) return "unknown";
-    const good = isConfidentAnswer({
+    const isConfident = isConfidentAnswer({
       logprobs: this.#logprobs,
       textLength: this.#textLength,
       finishReason: finished ? "stop" : undefined,
     }, rules);
-    return good ? "good" : "poor";
+    return isConfident ? "good" : "poor";
   }
 
   #finish(): RelayOutcome {
--- a/src/entry/vm_list_follower.ts
+++ b/src/entry/vm_list_follower.ts
@@ -1,4 +1,6 @@
-/** Takes in the platform's lagging list of VMs: relays ask it, others ask relays. */
+/**
+ * Follows the platform's list of VMs, which lags: relays query the platform, others query relays.
+ */
 
 import type { ConfigurationStore } from "../core/config/configuration_store.ts";
 import type { Freshness } from "../core/config/freshness.ts";
@@ -31,7 +33,7 @@
   readonly entryMetrics: EntryMetrics;
 }
 
-/** Learns of other entry VMs and of backend servers that leave. */
+/** Keeps track of other entry VMs and of draining backend servers. */
 export class VmListFollower {
   readonly #deps: Deps;
   readonly #task = new RepeatedTask({
@@ -44,23 +46,21 @@
     this.#deps = deps;
   }
 
-  /** Starts to ask for the list. */
   start(): void {
     this.#task.start();
   }
 
-  /** Stops to ask for the list. */
   stop(): void {
     this.#task.stop();
   }
 
   async #refresh(): Promise<void> {
     const { relayRole } = this.#deps;
-    if (relayRole.held || !await this.#askRelay()) await this.#askPlatform();
+    if (relayRole.held || !await this.#tryRelay()) await this.#tryPlatform();
   }
 
-  /** Returns whether a relay answered. */
-  async #askRelay(): Promise<boolean> {
+  /** Queries relays in turn; returns whether one answered. */
+  async #tryRelay(): Promise<boolean> {
     const {
       peers,
       relayRole,
@@ -77,7 +77,7 @@
       );
       if (!answer.ok) continue;
       const { view, revision, confirmed_age_ms } = answer.value;
-      if (view !== null) this.#take(view);
+      if (view !== null) this.#applyView(view);
       if (revision <= configurationStore.revision) {
         freshness.confirm(startedMs - confirmed_age_ms);
       }
@@ -86,17 +86,17 @@
     return false;
   }
 
-  async #askPlatform(): Promise<void> {
+  async #tryPlatform(): Promise<void> {
     const { platform, entryMetrics } = this.#deps;
     const answer = await platform.listVms({ etag: this.#etag });
     const outcome = answer.ok ? "answered" : answer.error.tag;
     entryMetrics.platformCalls.inc({ kind: "list_vms", outcome });
     if (!answer.ok || answer.value.list === undefined) return;
     this.#etag = answer.value.etag;
-    this.#take(condense(answer.value.list));
+    this.#applyView(summarizeVmList(answer.value.list));
   }
 
-  #take(view: VmView): void {
+  #applyView(view: VmView): void {
     const { vmViewHolder, serverPool, prober } = this.#deps;
     vmViewHolder.set(view);
     serverPool.setDraining(view.leaving);
@@ -104,7 +104,7 @@
   }
 }
 
-function condense({ vms }: VmList): VmView {
+function summarizeVmList({ vms }: VmList): VmView {
   const leaving = vms
     .filter((vm) => vm.kind === "backend" && vm.state === "leaving")
     .map((vm) => vm.id as BackendId)
