--- a/scripts/gateway_warm_up.ts
+++ b/scripts/gateway_warm_up.ts
@@ -166,7 +166,7 @@
 
 function fillStore(store: ObjectStoreStandin, backend: string): void {
   const route = { Hostname: HOST, Service: "warm", MaxAttempts: 3 };
-  store.kinds.put("config", {
+  store.objects.put("config", {
     name: "main",
     spec: {
       Version: 1,
@@ -200,7 +200,7 @@
     },
   });
   for (const name of ["i-1", "i-2"]) {
-    store.kinds.put("servers", {
+    store.objects.put("servers", {
       name,
       spec: {
         Service: "warm",
--- a/soak/soak_store.ts
+++ b/soak/soak_store.ts
@@ -72,7 +72,7 @@
       MaxAttempts: ROUTE.maxRuns,
       TimeoutMs: ROUTE.timeLimitMs,
     };
-    this.#store.kinds.put("config", {
+    this.#store.objects.put("config", {
       name: "main",
       spec: {
         Version: this.#version,
@@ -145,12 +145,12 @@
       State: "ready",
     };
     this.#servers.set(server.name, spec);
-    this.#store.kinds.put("servers", { name: server.name, spec });
+    this.#store.objects.put("servers", { name: server.name, spec });
   }
 
   /** Orders that the servers' data centre gets nothing new. */
   evacuate(): void {
-    this.#store.kinds.put("evacuations", { name: DATA_CENTRE, spec: {} });
+    this.#store.objects.put("evacuations", { name: DATA_CENTRE, spec: {} });
     const saidMs = performance.now();
     this.#history.evacuations.push({ saidMs, takenBackMs: Infinity });
   }
@@ -160,13 +160,13 @@
     const last = this.#history.evacuations.at(-1);
     // Before, as news may come to a gateway faster than the call returns.
     if (last !== undefined) last.takenBackMs = performance.now();
-    this.#store.kinds.remove("evacuations", DATA_CENTRE);
+    this.#store.objects.remove("evacuations", DATA_CENTRE);
   }
 
   /** Writes down that a server leaves. */
   leave({ name }: SoakServer): void {
     const spec = { ...this.#servers.get(name), State: "draining" };
-    this.#store.kinds.put("servers", { name, spec });
+    this.#store.objects.put("servers", { name, spec });
     const saidMs = performance.now();
     this.#history.leavings.push({ server: name, saidMs });
   }
@@ -174,27 +174,27 @@
   /** Removes the entry of a server that has gone. */
   unlist({ name }: SoakServer): void {
     this.#servers.delete(name);
-    this.#store.kinds.remove("servers", name);
+    this.#store.objects.remove("servers", name);
   }
 
   /** Lets all entries of servers lapse, as while the store is away. */
   lapse(): void {
     for (const name of this.#servers.keys()) {
-      this.#store.kinds.remove("servers", name);
+      this.#store.objects.remove("servers", name);
     }
   }
 
   /** Servers that live write themselves down again. */
   relist(): void {
     for (const [name, spec] of this.#servers) {
-      this.#store.kinds.put("servers", { name, spec });
+      this.#store.objects.put("servers", { name, spec });
     }
   }
 
   /** Forgets its history, and ends all watches. */
   forgetHistory(): void {
-    this.#store.kinds.forgetHistory();
-    this.#store.kinds.releaseWatches();
+    this.#store.objects.compactHistory();
+    this.#store.objects.wakeWatches();
   }
 
   /** Begins a fault; it may overlap with others. */
--- a/src/cli/standin_command.ts
+++ b/src/cli/standin_command.ts
@@ -82,7 +82,7 @@
         slots: args.slots,
         tokenMs: args["token-ms"],
         prefillMsPerToken: args["prefill-ms"],
-        reportLagMs: args["report-lag-ms"],
+        reportIntervalMs: args["report-lag-ms"],
         qualities: parseQualities(args.version),
       });
   }
--- a/src/demo/demo_fleet.ts
+++ b/src/demo/demo_fleet.ts
@@ -91,7 +91,7 @@
         slots: backend.slots,
         tokenMs: 10,
         prefillMsPerToken: 0.05,
-        reportLagMs: 500,
+        reportIntervalMs: 500,
         qualities: new Map(backend.versions.map(({ model, version }) => [
           `${model}@${version}`,
           model === first ? QUALITY_OF_FIRST_MODEL : QUALITY_OF_OTHERS,
--- a/src/platform/http_object_store_test.ts
+++ b/src/platform/http_object_store_test.ts
@@ -57,7 +57,7 @@
 
   it("should read all pages of a list", async () => {
     for (const name of ["a", "b", "c", "d", "e"]) {
-      standin.kinds.put("things", { name, spec: {} });
+      standin.objects.put("things", { name, spec: {} });
     }
     const listing = await store.list("things", CALL);
     assert.deepEqual(
@@ -68,13 +68,13 @@
 
   // A list that holds one such object was refused as a whole: no server was known then.
   it("should pass over objects that cannot be read, in lists and changes", async () => {
-    const revision = standin.kinds.revision;
-    standin.kinds.put("things", { name: "a", spec: {} });
-    standin.kinds.put("things", {
+    const revision = standin.objects.revision;
+    standin.objects.put("things", { name: "a", spec: {} });
+    standin.objects.put("things", {
       name: 7 as unknown as string,
       spec: {},
     });
-    standin.kinds.put("things", { name: "z", spec: {} });
+    standin.objects.put("things", { name: "z", spec: {} });
     const listing = await store.list("things", CALL);
     assert.deepEqual(
       listing.ok && listing.value.objects.map(({ name }) => name),
@@ -96,17 +96,17 @@
     assert.ok(listing.ok);
     const { revision } = listing.value;
     const watched = store.watch("things", { ...CALL, revision, waitMs: 1_000 });
-    standin.kinds.put("things", { name: "a", spec: {} });
+    standin.objects.put("things", { name: "a", spec: {} });
     const changes = await watched;
     assert.ok(changes.ok && changes.value.events.length > 0);
-    standin.kinds.remove("things", "a");
+    standin.objects.remove("things", "a");
     const removed = await store.watch("things", {
       ...CALL,
       revision: changes.value.revision,
       waitMs: 1_000,
     });
     assert.equal(removed.ok && removed.value.events[0]?.deleted, true);
-    standin.kinds.forgetHistory();
+    standin.objects.compactHistory();
     const lost = await store.watch("things", { ...CALL, revision, waitMs: 10 });
     assert.equal(!lost.ok && lost.error.tag, "history_lost");
   });
@@ -118,7 +118,7 @@
     standin.setFaults({ loseWriteAnswers: true });
     const lost = await store.create(KEY, { ...CALL, spec: {} });
     assert.equal(!lost.ok && lost.error.tag, "uncertain");
-    assert.notEqual(standin.kinds.get("things", "a"), undefined);
+    assert.notEqual(standin.objects.get("things", "a"), undefined);
   });
 });
 
--- a/src/standins/batch_engine.ts
+++ b/src/standins/batch_engine.ts
@@ -1,79 +1,81 @@
-/** Continuous batching of the model server stand-in: slots, queue and prefix cache. */
+/** Continuous batching of the model server stand-in: slots, priority queue and prefix cache. */
 
 import { unitHash } from "../runtime/hashing.ts";
 import { Generation, type GenerationInput } from "./generation.ts";
 
 const PRIORITY_ORDER = ["interactive", "standard", "batch"];
-const CACHED_PREFIXES = 1_024;
-/** Finished and abandoned answers that can still be resumed. */
-const KEPT_GENERATIONS = 4_096;
+const MAX_CACHED_PREFIXES = 1_024;
+/** Generations that are retained for resumption; the oldest are evicted first. */
+const MAX_RETAINED_GENERATIONS = 4_096;
 
-/** How fast the engine is. */
+/** Capacity and speed of the engine. */
 export interface EngineSpeed {
+  /** Generations that run concurrently. */
   readonly slots: number;
-  /** Time between tokens; 0 generates whole answers at once. */
+  /** Time between tokens, in milliseconds; 0 generates whole answers in one step. */
   readonly tokenMs: number;
-  /** Time to read one prompt token that is not in the prefix cache. */
+  /** Time to process one prompt token, in milliseconds, for a prompt not in the prefix cache. */
   readonly prefillMsPerToken: number;
 }
 
-interface Waiting {
+interface QueuedGeneration {
   readonly generation: Generation;
+  /** Position of the priority in `PRIORITY_ORDER`. */
   readonly order: number;
 }
 
-/** Counts of an engine. */
+/** Counters of an engine. */
 export interface EngineCounts {
   started: number;
   finished: number;
   cancelled: number;
 }
 
-/** Generates answers, so many at once. */
+/** Runs generations in a limited number of slots and queues the others by priority. */
 export class BatchEngine {
   readonly counts: EngineCounts = { started: 0, finished: 0, cancelled: 0 };
   readonly #speed: EngineSpeed;
-  readonly #queue: Waiting[] = [];
+  readonly #queue: QueuedGeneration[] = [];
   readonly #running = new Set<Generation>();
-  readonly #kept = new Map<string, Generation>();
-  readonly #prefixes = new Map<number, true>();
+  readonly #retained = new Map<string, Generation>();
+  readonly #cachedPrefixes = new Map<number, true>();
 
   constructor(speed: EngineSpeed) {
     this.#speed = speed;
   }
 
-  /** Requests being worked on. */
+  /** Number of generations that occupy a slot. */
   get running(): number {
     return this.#running.size;
   }
 
-  /** Requests waiting for a slot. */
+  /** Number of generations that wait for a slot. */
   get waiting(): number {
     return this.#queue.length;
   }
 
-  /** Takes a request in. */
+  /** Queues a generation behind those of the same or a higher priority. */
   submit(input: GenerationInput, priority: string): Generation {
     const generation = new Generation(input);
-    this.#keep(generation);
+    this.#retain(generation);
     const order = Math.max(0, PRIORITY_ORDER.indexOf(priority));
-    const at = this.#queue.findIndex((waiting) => waiting.order > order);
-    this.#queue.splice(at < 0 ? this.#queue.length : at, 0, {
+    const index = this.#queue.findIndex((queued) => queued.order > order);
+    this.#queue.splice(index < 0 ? this.#queue.length : index, 0, {
       generation,
       order,
     });
-    this.#fill();
+    this.#fillSlots();
     return generation;
   }
 
-  /** Answer of an earlier request, to resume it. */
+  /** Returns the retained generation of an earlier request. */
   find(requestId: string): Generation | undefined {
-    return this.#kept.get(requestId);
+    return this.#retained.get(requestId);
   }
 
-  /** Gives a request up; returns whether it was still wanted. */
+  /** Cancels a generation; returns false if it is unknown, finished or cancelled already. */
   cancel(requestId: string): boolean {
-    const generation = this.#kept.get(requestId);
+    const generation = this.#retained.get(requestId);
     if (
       generation === undefined || generation.finished || generation.cancelled
     ) {
@@ -81,16 +83,16 @@
     }
     this.counts.cancelled += 1;
     generation.cancel();
-    const at = this.#queue.findIndex((waiting) =>
-      waiting.generation === generation
+    const index = this.#queue.findIndex((queued) =>
+      queued.generation === generation
     );
-    if (at >= 0) this.#queue.splice(at, 1);
+    if (index >= 0) this.#queue.splice(index, 1);
     this.#running.delete(generation);
-    this.#fill();
+    this.#fillSlots();
     return true;
   }
 
-  #fill(): void {
+  #fillSlots(): void {
     while (this.#running.size < this.#speed.slots) {
       const next = this.#queue.shift();
       if (next === undefined) return;
@@ -122,29 +124,29 @@
   #finish(generation: Generation): void {
     this.counts.finished += 1;
     this.#running.delete(generation);
-    this.#fill();
+    this.#fillSlots();
   }
 
-  /** A prompt whose beginning was seen lately is read four times as fast. */
+  /** A prompt whose first 256 characters are in the prefix cache is processed four times as fast. */
   #prefillMs({ prompt, promptTokens }: GenerationInput): number {
-    const PREFIX_LENGTH = 256;
+    const PREFIX_CHARACTERS = 256;
     const CACHE_SPEED_UP = 4;
-    const full = promptTokens * this.#speed.prefillMsPerToken;
-    const prefix = unitHash(prompt.slice(0, PREFIX_LENGTH));
-    const cached = this.#prefixes.delete(prefix);
-    this.#prefixes.set(prefix, true);
-    dropOldest(this.#prefixes, CACHED_PREFIXES);
-    return cached ? full / CACHE_SPEED_UP : full;
+    const uncachedMs = promptTokens * this.#speed.prefillMsPerToken;
+    const prefix = unitHash(prompt.slice(0, PREFIX_CHARACTERS));
+    const cached = this.#cachedPrefixes.delete(prefix);
+    this.#cachedPrefixes.set(prefix, true);
+    evictOldest(this.#cachedPrefixes, MAX_CACHED_PREFIXES);
+    return cached ? uncachedMs / CACHE_SPEED_UP : uncachedMs;
   }
 
-  #keep(generation: Generation): void {
-    this.#kept.set(generation.input.requestId, generation);
-    dropOldest(this.#kept, KEPT_GENERATIONS);
+  #retain(generation: Generation): void {
+    this.#retained.set(generation.input.requestId, generation);
+    evictOldest(this.#retained, MAX_RETAINED_GENERATIONS);
   }
 }
 
-function dropOldest<K>(map: Map<K, unknown>, most: number): void {
-  if (map.size <= most) return;
+function evictOldest<K>(map: Map<K, unknown>, maxSize: number): void {
+  if (map.size <= maxSize) return;
   const oldest = map.keys().next();
   if (!oldest.done) map.delete(oldest.value);
 }
--- a/src/standins/generation.ts
+++ b/src/standins/generation.ts
@@ -1,9 +1,9 @@
-/** One answer that the model server stand-in generates, token by token. */
+/** One answer that the model server stand-in generates token by token. */
 
 import { unitHash } from "../runtime/hashing.ts";
 
-const GOOD_LOGPROB = -0.2;
-const POOR_LOGPROB = -1.4;
+const CONFIDENT_LOGPROB = -0.2;
+const UNCERTAIN_LOGPROB = -1.4;
 const WORDS = [
   "leaf",
   "soil",
@@ -15,34 +15,34 @@
   "scan",
 ];
 
-/** What decides how an answer turns out. */
+/** Input from which an answer is derived deterministically. */
 export interface GenerationInput {
   readonly requestId: string;
   readonly model: string;
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** Share of prompts that the version answers rightly, 0 to 1. */
+  /** Share of prompts that the version answers correctly, from 0 to 1. */
   readonly quality: number;
-  /** Whether wrong answers look as good as right ones. */
-  readonly fluent: boolean;
+  /** Whether wrong answers get the same token probabilities as correct ones. */
+  readonly confidentWhenWrong: boolean;
 }
 
-/** An answer in the making; its text is a function of its input alone. */
+/** An answer being generated; its text depends on its input only. */
 export class Generation {
   readonly input: GenerationInput;
-  readonly right: boolean;
+  readonly correct: boolean;
   readonly #listeners = new Set<() => void>();
   #tokens = 0;
   #cancelled = false;
 
   constructor(input: GenerationInput) {
     this.input = input;
-    // A better version answers all prompts rightly that a worse one does.
-    this.right = unitHash(input.prompt) < input.quality;
+    // The same hash for all versions: a better version answers correctly every prompt that a worse one does.
+    this.correct = unitHash(input.prompt) < input.quality;
   }
 
-  /** Tokens generated so far. */
+  /** Number of tokens generated so far. */
   get tokens(): number {
     return this.#tokens;
   }
@@ -52,43 +52,47 @@
     return this.#tokens >= this.input.maxTokens;
   }
 
-  /** Whether it was given up. */
   get cancelled(): boolean {
     return this.#cancelled;
   }
 
-  /** Log-probability of each token. */
+  /** Log-probability that is reported for each token. */
   get logprob(): number {
-    return this.right || this.input.fluent ? GOOD_LOGPROB : POOR_LOGPROB;
+    return this.correct || this.input.confidentWhenWrong
+      ? CONFIDENT_LOGPROB
+      : UNCERTAIN_LOGPROB;
   }
 
-  /** Calls `listener` after each token and upon cancellation. */
+  /** Calls `listener` on each advance and on cancellation; returns a function that removes it. */
   onProgress(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  /** Generates the next tokens. */
+  /** Generates up to `tokens` further tokens. */
   advance(tokens: number): void {
     this.#tokens = Math.min(this.input.maxTokens, this.#tokens + tokens);
     for (const listener of this.#listeners) listener();
   }
 
-  /** Gives it up. */
+  /** Cancels the generation and notifies the listeners. */
   cancel(): void {
     this.#cancelled = true;
     for (const listener of this.#listeners) listener();
   }
 
-  /** Text of one token; the first tells the rating service whether it is right. */
-  word(at: number): string {
-    if (at === 0) return this.right ? "right:" : "wrong:";
-    return ` ${WORDS[(at + this.input.prompt.length) % WORDS.length]}`;
+  /** Returns the text of one token; the first one marks the answer as right or wrong for the rating stand-in. */
+  tokenText(index: number): string {
+    if (index === 0) return this.correct ? "right:" : "wrong:";
+    return ` ${WORDS[(index + this.input.prompt.length) % WORDS.length]}`;
   }
 
-  /** Text so far. */
+  /** Returns the text generated so far. */
   text(): string {
-    return Array.from({ length: this.#tokens }, (_, at) => this.word(at)).join(
+    return Array.from(
+      { length: this.#tokens },
+      (_, index) => this.tokenText(index),
+    ).join(
       "",
     );
   }
--- a/src/standins/generation_stream.ts
+++ b/src/standins/generation_stream.ts
@@ -1,4 +1,4 @@
-/** Sends a generation as server-sent events while it grows. */
+/** Sends a generation as server-sent events while tokens are generated. */
 
 import type { ServerResponse } from "node:http";
 import { END_OF_STREAM } from "../protocol/chat_schema.ts";
@@ -8,12 +8,12 @@
 interface StreamOptions {
   readonly res: ServerResponse;
   readonly logprobs: boolean;
-  /** Tokens that the caller has already. */
+  /** Number of tokens that the client has received already. */
   readonly offset: number;
   readonly faults: ModelFaults;
 }
 
-/** One stream of one generation. */
+/** One response stream of a generation. */
 export class GenerationStream {
   readonly #generation: Generation;
   readonly #options: StreamOptions;
@@ -26,28 +26,28 @@
     this.#sent = options.offset;
   }
 
-  /** Sends what there is, and the rest as it comes. */
+  /** Sends the tokens generated so far, then each further token. */
   start(): void {
     const { res } = this.#options;
     res.writeHead(200, { "content-type": "text/event-stream" });
-    const off = this.#generation.onProgress(() => this.#pump());
-    res.once("close", off);
-    this.#pump();
+    const unsubscribe = this.#generation.onProgress(() => this.#flush());
+    res.once("close", unsubscribe);
+    this.#flush();
   }
 
-  #pump(): void {
+  #flush(): void {
     const { res, faults } = this.#options;
     if (this.#ended || res.destroyed) return;
     let text = "";
     while (this.#sent < this.#generation.tokens) {
       if (this.#sent === faults.end_after_tokens) return this.#end(text);
-      if (this.#sent === faults.cut_after_tokens) return this.#cut(text);
-      text += this.#event(this.#sent);
+      if (this.#sent === faults.cut_after_tokens) return this.#abort(text);
+      text += this.#tokenEvent(this.#sent);
       this.#sent += 1;
     }
-    if (this.#generation.cancelled) return this.#cut(text);
+    if (this.#generation.cancelled) return this.#abort(text);
     if (this.#generation.finished) {
-      this.#end(`${text}${this.#last()}data: ${END_OF_STREAM}\n\n`);
+      this.#end(`${text}${this.#finalEvent()}data: ${END_OF_STREAM}\n\n`);
     } else if (text !== "") res.write(text);
   }
 
@@ -56,19 +56,19 @@
     this.#options.res.end(text);
   }
 
-  #cut(text: string): void {
+  #abort(text: string): void {
     this.#ended = true;
     this.#options.res.write(text, () => this.#options.res.destroy());
   }
 
-  #event(at: number): string {
-    const delta = { content: this.#generation.word(at) };
+  #tokenEvent(index: number): string {
+    const delta = { content: this.#generation.tokenText(index) };
     const { logprob } = this.#generation;
     const logprobs = this.#options.logprobs ? { content: [{ logprob }] } : null;
     return this.#chunk({ index: 0, delta, logprobs, finish_reason: null });
   }
 
-  #last(): string {
+  #finalEvent(): string {
     return this.#chunk({
       index: 0,
       delta: {},
--- a/src/standins/model_faults.ts
+++ b/src/standins/model_faults.ts
@@ -1,22 +1,22 @@
-/** Faults of a model server stand-in. */
+/** Faults that a test can inject into a model server stand-in. */
 
 import * as z from "zod";
 
-/** Schema of the faults that are on. */
+/** Schema of the body of `PUT /faults`. */
 export const modelFaultsSchema = z.strictObject({
-  /** Requests are answered with this status. */
+  /** Every chat request is answered with this status. */
   status: z.int().optional(),
-  /** Connections are cut after the request has been taken in. */
+  /** The request is accepted, then its connection is closed without an answer. */
   cut_before_answer: z.boolean().optional(),
-  /** Streams are cut after so many tokens. */
+  /** Number of tokens after which a stream is aborted with its connection. */
   cut_after_tokens: z.int().optional(),
-  /** Streams end after so many tokens, without their proper end. */
+  /** Number of tokens after which a stream ends cleanly, but without the end-of-stream event. */
   end_after_tokens: z.int().optional(),
-  /** Answers carry the id of another request. */
+  /** Answers carry a wrong request id. */
   wrong_id: z.boolean().optional(),
-  /** Versions that answer wrongly while looking right, as `model@version`. */
+  /** Versions, as `model@version`, that give wrong answers with high token probabilities. */
   wrong_versions: z.array(z.string()).optional(),
 });
 
-/** Faults that are on. */
+/** Active faults. */
 export type ModelFaults = z.infer<typeof modelFaultsSchema>;
--- a/src/standins/model_server_standin.ts
+++ b/src/standins/model_server_standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model server: the chat API over a batching engine, with faults. */
+/** Stand-in for a model server: the chat API on top of a batching engine, with fault injection. */
 
 import fastify, {
   type FastifyInstance,
@@ -18,8 +18,8 @@
 
 const DEFAULT_MAX_TOKENS = 32;
 const CHARACTERS_PER_TOKEN = 4;
-const KEPT_WORK = 50_000;
-const BODY_LIMIT = 16 * 1024 * 1024;
+const MAX_LOGGED_REQUESTS = 50_000;
+const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
 
 const orderSchema = z.strictObject({
   fence: z.int(),
@@ -27,25 +27,26 @@
   version: z.string(),
 });
 
-/** How a model server stand-in is set up. */
+/** Options of a model server stand-in. */
 export interface ModelServerOptions extends EngineSpeed {
-  /** Quality of each version that it serves, by `model@version`. */
+  /** Quality of each served version, by `model@version`; see `GenerationInput.quality`. */
   readonly qualities: ReadonlyMap<string, number>;
-  /** Delay of load reports, in milliseconds. */
-  readonly reportLagMs: number;
+  /** Interval at which the load report is refreshed, in milliseconds. */
+  readonly reportIntervalMs: number;
 }
 
-/** A model server, in memory. */
+/** HTTP server that generates answers, accepts load and unload orders, and reports its load. */
 export class ModelServerStandin {
   readonly #http: FastifyInstance;
   readonly #engine: BatchEngine;
   readonly #qualities: Map<string, number>;
   readonly #loaded: Set<string>;
-  readonly #requests = new Map<string, number>();
-  /** Latest requests, with the time at which each was taken in. */
-  readonly #work: { readonly version: string; readonly at_ms: number }[] = [];
+  readonly #requestCounts = new Map<string, number>();
+  /** The latest accepted requests, with the Unix time at which each was accepted. */
+  readonly #requestLog: { readonly version: string; readonly at_ms: number }[] =
+    [];
   readonly #reportTimer: NodeJS.Timeout;
-  #report = { running: 0, waiting: 0 };
+  #loadReport = { running: 0, waiting: 0 };
   #faults: ModelFaults = {};
   #highestFence = 0;
 
@@ -55,10 +56,10 @@
     this.#loaded = new Set(options.qualities.keys());
     this.#reportTimer = setInterval(() => {
       const { running, waiting } = this.#engine;
-      this.#report = { running, waiting };
-    }, options.reportLagMs);
+      this.#loadReport = { running, waiting };
+    }, options.reportIntervalMs);
     this.#http = fastify({
-      bodyLimit: BODY_LIMIT,
+      bodyLimit: BODY_LIMIT_BYTES,
       forceCloseConnections: true,
     });
     this.#http.post(
@@ -68,24 +69,24 @@
     this.#http.post("/v1/resume", (req, reply) => this.#resume(req, reply));
     this.#http.post("/v1/cancel", (req) => this.#cancel(req.body));
     this.#http.post("/orders", (req, reply) => this.#order(req.body, reply));
-    this.#http.get("/load", () => this.#report);
+    this.#http.get("/load", () => this.#loadReport);
     this.#http.get("/counts", () => ({
       ...this.#engine.counts,
-      requests: Object.fromEntries(this.#requests),
+      requests: Object.fromEntries(this.#requestCounts),
     }));
-    this.#http.get("/work", () => ({ work: this.#work }));
+    this.#http.get("/work", () => ({ work: this.#requestLog }));
     this.#http.put("/faults", (req) => {
       this.#faults = modelFaultsSchema.parse(req.body);
       return { ok: true };
     });
   }
 
-  /** Starts to listen; returns the base URL. */
+  /** Starts listening; returns the base URL. */
   async listen(address: string): Promise<string> {
     return `http://${await listenHttp(this.#http, address)}`;
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   async close(): Promise<void> {
     clearInterval(this.#reportTimer);
     await this.#http.close();
@@ -102,9 +103,12 @@
         error: `version ${body.model} is not loaded`,
       });
     }
-    this.#requests.set(body.model, (this.#requests.get(body.model) ?? 0) + 1);
-    this.#work.push({ version: body.model, at_ms: Date.now() });
-    if (this.#work.length > KEPT_WORK) this.#work.shift();
+    this.#requestCounts.set(
+      body.model,
+      (this.#requestCounts.get(body.model) ?? 0) + 1,
+    );
+    this.#requestLog.push({ version: body.model, at_ms: Date.now() });
+    if (this.#requestLog.length > MAX_LOGGED_REQUESTS) this.#requestLog.shift();
     const generation = this.#engine.submit(
       this.#input(body, String(req.headers["x-request-id"])),
       String(req.headers["x-priority"] ?? "standard"),
@@ -113,23 +117,25 @@
     if (body.stream === true) {
       return this.#stream(generation, { reply, body, offset: 0 });
     }
-    await finished(generation);
-    return reply.send(wholeAnswer(generation, { body, faults: this.#faults }));
+    await waitUntilDone(generation);
+    return reply.send(
+      completionBody(generation, { body, faults: this.#faults }),
+    );
   }
 
   #input(body: ChatRequest, requestId: string): Generation["input"] {
     const prompt = JSON.stringify(body.messages);
     const maxTokens = Number(body.max_tokens ?? DEFAULT_MAX_TOKENS);
     const { wrong_versions = [] } = this.#faults;
-    const wrong = wrong_versions.includes(body.model);
+    const isWrong = wrong_versions.includes(body.model);
     return {
       requestId,
       model: body.model,
       prompt,
       promptTokens: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN),
       maxTokens,
-      quality: wrong ? 0 : this.#qualities.get(body.model) ?? 1,
-      fluent: wrong,
+      quality: isWrong ? 0 : this.#qualities.get(body.model) ?? 1,
+      confidentWhenWrong: isWrong,
     };
   }
 
@@ -160,7 +166,9 @@
     }).parse(req.body);
     const generation = this.#engine.find(request_id);
     if (generation === undefined || generation.cancelled) {
-      return reply.code(404).send({ error: "nothing to resume" });
+      return reply.code(404).send({
+        error: "nothing to resume",
+      });
     }
     const body = { model: generation.input.model, messages: [], logprobs };
     return this.#stream(generation, { reply, body, offset });
@@ -183,25 +191,25 @@
   }
 }
 
-function finished(generation: Generation): Promise<void> {
+function waitUntilDone(generation: Generation): Promise<void> {
   return new Promise((resolve) => {
     const check = () => {
       if (!generation.finished && !generation.cancelled) return;
-      off();
+      unsubscribe();
       resolve();
     };
-    const off = generation.onProgress(check);
+    const unsubscribe = generation.onProgress(check);
     check();
   });
 }
 
-function wholeAnswer(
+function completionBody(
   generation: Generation,
   { body, faults }: { body: ChatRequest; faults: ModelFaults },
 ): object {
   const { input, tokens, logprob } = generation;
-  const content = Array.from({ length: tokens }, (_, at) => ({
-    token: generation.word(at),
+  const content = Array.from({ length: tokens }, (_, index) => ({
+    token: generation.tokenText(index),
     logprob,
   }));
   return {
--- a/src/standins/object_store_standin.ts
+++ b/src/standins/object_store_standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the store of the users' platform: the published protocol, and faults. */
+/** Stand-in for the object store of the users' platform, with fault injection. */
 
 import fastify, {
   type FastifyInstance,
@@ -7,22 +7,22 @@
 } from "fastify";
 import { listenHttp } from "../runtime/listen.ts";
 import { pause } from "../runtime/pause.ts";
-import { type KeptObject, ObjectKinds } from "./object_kinds.ts";
+import { type StoredObject, VersionedObjects } from "./versioned_objects.ts";
 
-/** Objects on one page of a list. */
-const DEFAULT_PAGE = 500;
+/** Objects per page of a list. */
+const DEFAULT_PAGE_SIZE = 500;
 
-/** What may go wrong. */
+/** Faults that a test can inject. */
 export interface StoreFaults {
   /** Every call is answered with 503. */
   readonly down?: boolean;
-  /** Every call is answered late, in milliseconds. */
+  /** Delay before every answer, in milliseconds. */
   readonly delayMs?: number;
-  /** Writes take effect, and their connections end without an answer. */
+  /** Writes take effect, but their connections are closed without an answer. */
   readonly loseWriteAnswers?: boolean;
-  /** Watches never answer. */
+  /** Watches report no changes and time out empty. */
   readonly watchesStuck?: boolean;
-  /** Watches answer at a change, but without it. */
+  /** Watches answer when an object changes, but leave the change out. */
   readonly watchesEmpty?: boolean;
 }
 
@@ -44,18 +44,18 @@
   readonly Status?: unknown;
 }
 
-/** The store, in memory. */
+/** In-memory implementation of the store's HTTP protocol. */
 export class ObjectStoreStandin {
-  readonly kinds = new ObjectKinds();
+  readonly objects = new VersionedObjects();
   readonly #http: FastifyInstance;
-  readonly #page: number;
+  readonly #pageSize: number;
   #faults: StoreFaults = {};
   #calls = 0;
 
-  constructor({ page = DEFAULT_PAGE } = {}) {
-    this.#page = page;
+  constructor({ page = DEFAULT_PAGE_SIZE } = {}) {
+    this.#pageSize = page;
     this.#http = fastify({ forceCloseConnections: true });
-    this.#http.addHook("onRequest", (_req, reply) => this.#fault(reply));
+    this.#http.addHook("onRequest", (_req, reply) => this.#applyFaults(reply));
     const base = "/-/objects/:kind";
     this.#http.get(base, (req, reply) => this.#listOrWatch(req, reply));
     this.#http.post(base, (req, reply) => this.#create(req, reply));
@@ -67,28 +67,28 @@
     );
   }
 
-  /** Calls so far. */
+  /** Number of HTTP requests received. */
   get calls(): number {
     return this.#calls;
   }
 
-  /** Starts to listen on loopback; returns the address. */
+  /** Starts listening on a free loopback port; returns the address. */
   listen(): Promise<string> {
     return listenHttp(this.#http, "127.0.0.1:0");
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   close(): Promise<void> {
-    this.kinds.releaseWatches();
+    this.objects.wakeWatches();
     return this.#http.close();
   }
 
-  /** Switches faults on and off. */
+  /** Replaces the active faults. */
   setFaults(faults: StoreFaults): void {
     this.#faults = faults;
   }
 
-  async #fault(reply: FastifyReply): Promise<void> {
+  async #applyFaults(reply: FastifyReply): Promise<void> {
     this.#calls += 1;
     const { delayMs = 0, down = false } = this.#faults;
     if (delayMs > 0) await pause(delayMs);
@@ -97,7 +97,7 @@
 
   #get(req: FastifyRequest, reply: FastifyReply): FastifyReply {
     const { kind, name } = req.params as Params;
-    const object = this.kinds.get(kind, name);
+    const object = this.objects.get(kind, name);
     return object === undefined
       ? reply.code(404).send()
       : reply.send(encode(object));
@@ -116,11 +116,13 @@
         waitMs: Number(WaitMs ?? 0),
       });
     }
-    const rest = this.kinds.list(kind).filter(({ name }) => name > After);
+    const remaining = this.objects.list(kind).filter(({ name }) =>
+      name > After
+    );
     return reply.send({
-      Entries: rest.slice(0, this.#page).map(encode),
-      HasMore: rest.length > this.#page,
-      StoreRevision: this.kinds.revision,
+      Entries: remaining.slice(0, this.#pageSize).map(encode),
+      HasMore: remaining.length > this.#pageSize,
+      StoreRevision: this.objects.revision,
     });
   }
 
@@ -132,26 +134,26 @@
       waitMs: number;
     },
   ): Promise<FastifyReply> {
-    if (this.kinds.isForgotten(revision)) return reply.code(410).send();
-    const stuck = () => this.#faults.watchesStuck === true;
+    if (this.objects.isCompacted(revision)) return reply.code(410).send();
+    const isStalled = () => this.#faults.watchesStuck === true;
     let closed = false;
     reply.raw.once("close", () => {
       closed = true;
-      this.kinds.releaseWatches();
+      this.objects.wakeWatches();
     });
-    const events = await this.kinds.waitFor(kind, {
+    const events = await this.objects.waitFor(kind, {
       revision,
       waitMs,
-      stuck,
-      gone: () => closed,
+      isStalled,
+      isClosed: () => closed,
     });
-    const told = this.#faults.watchesEmpty === true ? [] : events;
+    const reported = this.#faults.watchesEmpty === true ? [] : events;
     return reply.send({
-      events: told.map(({ object, deleted }) => ({
+      events: reported.map(({ object, deleted }) => ({
         Object: encode(object),
         Deleted: deleted,
       })),
-      StoreRevision: this.kinds.revision,
+      StoreRevision: this.objects.revision,
     });
   }
 
@@ -159,27 +161,30 @@
     const { kind } = req.params as Params;
     const { Metadata, Spec } = req.body as Body;
     const name = Metadata?.Name ?? "";
-    const known = this.kinds.get(kind, name);
-    if (known !== undefined) return reply.code(409).send(encode(known));
-    return this.#answer(reply, this.kinds.put(kind, { name, spec: Spec }));
+    const existing = this.objects.get(kind, name);
+    if (existing !== undefined) return reply.code(409).send(encode(existing));
+    return this.#sendWritten(
+      reply,
+      this.objects.put(kind, { name, spec: Spec }),
+    );
   }
 
   #put(req: FastifyRequest, reply: FastifyReply): FastifyReply {
     const { kind, name } = req.params as Params;
     const { Metadata, Spec, Status } = req.body as Body;
-    const known = this.kinds.get(kind, name);
-    if (known === undefined) return reply.code(404).send();
+    const existing = this.objects.get(kind, name);
+    if (existing === undefined) return reply.code(404).send();
     const expected = Metadata?.Revision;
-    if (expected !== undefined && expected !== known.revision) {
-      return reply.code(409).send(encode(known));
+    if (expected !== undefined && expected !== existing.revision) {
+      return reply.code(409).send(encode(existing));
     }
     const change = req.url.split("?")[0]?.endsWith("/status")
       ? { name, status: Status }
       : { name, spec: Spec };
-    return this.#answer(reply, this.kinds.put(kind, change));
+    return this.#sendWritten(reply, this.objects.put(kind, change));
   }
 
-  #answer(reply: FastifyReply, object: KeptObject): FastifyReply {
+  #sendWritten(reply: FastifyReply, object: StoredObject): FastifyReply {
     if (this.#faults.loseWriteAnswers !== true) {
       return reply.send(encode(object));
     }
@@ -189,7 +194,7 @@
   }
 }
 
-function encode({ name, revision, created, spec, status }: KeptObject) {
+function encode({ name, revision, created, spec, status }: StoredObject) {
   return {
     Metadata: {
       Name: name,
--- a/src/standins/plain_service_standin.ts
+++ b/src/standins/plain_service_standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a plain service; counts each call by the key it carries. */
+/** Stand-in for a backend server of a plain HTTP service; counts the calls per request key. */
 
 import fastify, {
   type FastifyInstance,
@@ -11,16 +11,16 @@
 const faultsSchema = z.strictObject({
   /** Calls are answered with this status. */
   status: z.int().optional(),
-  /** Calls are answered late, in milliseconds. */
+  /** Delay before every answer, in milliseconds. */
   delay_ms: z.number().min(0).optional(),
-  /** Calls take effect, and their connections are cut without an answer. */
+  /** Calls take effect, but their connections are closed without an answer. */
   cut_after_effect: z.boolean().optional(),
 });
 
-/** A plain service, in memory. */
+/** HTTP server that accepts any request and counts executions by idempotency key, or else request id. */
 export class PlainServiceStandin {
   readonly #http: FastifyInstance;
-  readonly #runs = new Map<string, number>();
+  readonly #runsByKey = new Map<string, number>();
   #faults: z.infer<typeof faultsSchema> = {};
 
   constructor() {
@@ -31,31 +31,34 @@
       { parseAs: "string" },
       (_req, body, done) => done(null, body),
     );
-    this.#http.get("/counts", () => Object.fromEntries(this.#runs));
+    this.#http.get("/counts", () => Object.fromEntries(this.#runsByKey));
     this.#http.put("/faults", (req) => {
       this.#faults = faultsSchema.parse(JSON.parse(String(req.body)));
       return { ok: true };
     });
-    this.#http.all("/*", (req, reply) => this.#call(req, reply));
+    this.#http.all("/*", (req, reply) => this.#handleCall(req, reply));
   }
 
-  /** Starts to listen; returns the base URL. */
+  /** Starts listening; returns the base URL. */
   async listen(address: string): Promise<string> {
     return `http://${await listenHttp(this.#http, address)}`;
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   async close(): Promise<void> {
     await this.#http.close();
   }
 
-  async #call(req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
+  async #handleCall(
+    req: FastifyRequest,
+    reply: FastifyReply,
+  ): Promise<FastifyReply> {
     const { status, delay_ms = 0, cut_after_effect } = this.#faults;
     const key = String(
       req.headers["idempotency-key"] ?? req.headers["x-request-id"],
     );
-    const runs = (this.#runs.get(key) ?? 0) + 1;
-    this.#runs.set(key, runs);
+    const runs = (this.#runsByKey.get(key) ?? 0) + 1;
+    this.#runsByKey.set(key, runs);
     if (delay_ms > 0) {
       await new Promise((resolve) => setTimeout(resolve, delay_ms));
     }
--- a/src/standins/platform_objects.ts
+++ b/src/standins/platform_objects.ts
@@ -1,27 +1,26 @@
-/** Objects of the platform stand-in: versions, conditions and watches. */
+/** Versioned objects of the platform stand-in, with conditional writes and watches. */
 
 import { fail, ok, type Result } from "../core/result.ts";
 import type { PlatformObject } from "../protocol/platform_schema.ts";
 
-type Waiter = (object: PlatformObject) => void;
+type ChangeListener = (object: PlatformObject) => void;
 
 /** An in-memory store of versioned objects. */
 export class PlatformObjects {
   readonly #objects = new Map<string, PlatformObject>();
-  readonly #waiters = new Map<string, Set<Waiter>>();
+  readonly #listeners = new Map<string, Set<ChangeListener>>();
 
-  /** Returns an object. */
   get(key: string): PlatformObject | undefined {
     return this.#objects.get(key);
   }
 
-  /** Keys with a prefix, in order. */
+  /** Returns the keys that start with `prefix`, sorted. */
   list(prefix: string): string[] {
     return [...this.#objects.keys()].filter((key) => key.startsWith(prefix))
       .sort();
   }
 
-  /** Writes if the version is as expected; the error is the current version. */
+  /** Writes if the current version is the expected one; otherwise fails with the current version. */
   put(
     key: string,
     { value, expectedVersion }: { value: string; expectedVersion: number },
@@ -30,21 +29,24 @@
     if (current !== expectedVersion) return fail(current);
     const object = { key, version: current + 1, value };
     this.#objects.set(key, object);
-    for (const waiter of this.#waiters.get(key) ?? []) waiter(object);
+    for (const listener of this.#listeners.get(key) ?? []) listener(object);
     return ok(object.version);
   }
 
-  /** Waits for a version above `afterVersion`; returns how to give up waiting. */
-  wait(
+  /** Calls `onChange` for each version above `afterVersion`; returns a function that stops the watch. */
+  watch(
     key: string,
-    { afterVersion, onChange }: { afterVersion: number; onChange: Waiter },
+    { afterVersion, onChange }: {
+      afterVersion: number;
+      onChange: ChangeListener;
+    },
   ): () => void {
-    const waiters = this.#waiters.get(key) ?? new Set();
-    this.#waiters.set(key, waiters);
-    const waiter: Waiter = (object) => {
+    const listeners = this.#listeners.get(key) ?? new Set();
+    this.#listeners.set(key, listeners);
+    const listener: ChangeListener = (object) => {
       if (object.version > afterVersion) onChange(object);
     };
-    waiters.add(waiter);
-    return () => waiters.delete(waiter);
+    listeners.add(listener);
+    return () => listeners.delete(listener);
   }
 }
--- a/src/standins/platform_standin.ts
+++ b/src/standins/platform_standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's object API, with faults to switch on. */
+/** Stand-in for the platform's object API, with fault injection. */
 
 import fastify, {
   type FastifyInstance,
@@ -17,31 +17,31 @@
 } from "../protocol/platform_schema.ts";
 import { listenHttp } from "../runtime/listen.ts";
 import { PlatformObjects } from "./platform_objects.ts";
-import { RateLimit } from "./rate_limit.ts";
+import { TokenBucket } from "./token_bucket.ts";
 
 const READS_PER_SECOND = 2_000;
 const WRITES_PER_SECOND = 300;
-const DEFAULT_LIST_LAG_MS = 1_000;
+const DEFAULT_VM_LIST_LAG_MS = 1_000;
 const RETRY_AFTER_MS = 100;
 
 const faultsSchema = z.strictObject({
   /** Every call is answered with 503. */
   down: z.boolean().optional(),
-  /** Every call is answered late, in milliseconds. */
+  /** Delay before every answer, in milliseconds. */
   delay_ms: z.number().min(0).optional(),
-  /** So many writes take effect, and their connections are cut without an answer. */
+  /** Number of writes that take effect but whose connections are closed without an answer. */
   lose_write_answers: z.int().min(0).optional(),
-  /** Writes of the head take effect without an answer, and reads of it get none. */
+  /** Writes of the head object take effect but get no answer; reads after such a write get none either. */
   lose_head_answers: z.boolean().optional(),
-  /** Watches never answer. */
+  /** Watches report no changes and time out empty. */
   watches_stuck: z.boolean().optional(),
-  /** Delay until a change of the VM list is seen, in milliseconds. */
+  /** Delay before a change of the VM list becomes visible, in milliseconds. */
   list_lag_ms: z.number().min(0).optional(),
 });
 
 type Faults = z.infer<typeof faultsSchema>;
 
-/** What a running stand-in counts. */
+/** Call counters of a running stand-in. */
 export interface PlatformCounts {
   reads: number;
   writes: number;
@@ -49,12 +49,12 @@
   rateLimited: number;
 }
 
-/** The platform, in memory. */
+/** In-memory implementation of the platform's HTTP API. */
 export class PlatformStandin {
   readonly #http: FastifyInstance;
   readonly #objects = new PlatformObjects();
-  readonly #reads = new RateLimit(READS_PER_SECOND);
-  readonly #writes: RateLimit;
+  readonly #readLimit = new TokenBucket(READS_PER_SECOND);
+  readonly #writeLimit: TokenBucket;
   readonly #counts: PlatformCounts = {
     reads: 0,
     writes: 0,
@@ -62,13 +62,13 @@
     rateLimited: 0,
   };
   #faults: Faults = {};
-  /** Whether the head was written since `lose_head_answers` came on. */
+  /** Whether the head was written since the faults were last set, while `lose_head_answers` was on. */
   #headWritten = false;
   #vms: VmList = { vms: [] };
   #vmsVersion = 1;
 
   constructor({ writesPerSecond = WRITES_PER_SECOND } = {}) {
-    this.#writes = new RateLimit(writesPerSecond);
+    this.#writeLimit = new TokenBucket(writesPerSecond);
     this.#http = fastify({
       bodyLimit: MAX_VALUE_BYTES,
       forceCloseConnections: true,
@@ -87,12 +87,12 @@
     this.#http.get("/counts", () => this.#counts);
   }
 
-  /** Starts to listen; returns the base URL. */
+  /** Starts listening; returns the base URL. */
   async listen(address: string): Promise<string> {
     return `http://${await listenHttp(this.#http, address)}`;
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   async close(): Promise<void> {
     await this.#http.close();
   }
@@ -103,8 +103,8 @@
     const watch = query.after_version !== undefined;
     if (watch) this.#counts.watches += 1;
     else this.#counts.reads += 1;
-    const refused = await this.#refuse(reply, this.#reads);
-    if (refused) return reply;
+    const answered = await this.#answerWithFault(reply, this.#readLimit);
+    if (answered) return reply;
     if (this.#losesHead(key) && this.#headWritten) return cutConnection(reply);
     if (watch) return this.#watch(key, { reply, query });
     const object = this.#objects.get(key);
@@ -129,12 +129,12 @@
     }
     const finish = (change?: PlatformObject) => {
       clearTimeout(timer);
-      giveUp();
+      stopWatching();
       if (change === undefined) void reply.code(204).send();
       else void reply.send(change);
     };
     const timer = setTimeout(() => finish(), Number(query.wait_ms ?? 0));
-    const giveUp = this.#objects.wait(key, {
+    const stopWatching = this.#objects.watch(key, {
       afterVersion,
       onChange: (change) => {
         if (this.#faults.watches_stuck !== true) finish(change);
@@ -142,7 +142,7 @@
     });
     reply.raw.once("close", () => {
       clearTimeout(timer);
-      giveUp();
+      stopWatching();
     });
     return reply;
   }
@@ -153,8 +153,8 @@
   ): Promise<FastifyReply> {
     const { key } = req.params as { key: string };
     this.#counts.writes += 1;
-    const refused = await this.#refuse(reply, this.#writes);
-    if (refused) return reply;
+    const answered = await this.#answerWithFault(reply, this.#writeLimit);
+    if (answered) return reply;
     const expectedVersion = Number(req.headers["if-match"] ?? 0);
     const written = this.#objects.put(key, {
       value: String(req.body),
@@ -167,9 +167,9 @@
       this.#headWritten = true;
       return cutConnection(reply);
     }
-    const left = this.#faults.lose_write_answers ?? 0;
-    if (left > 0) {
-      this.#faults = { ...this.#faults, lose_write_answers: left - 1 };
+    const remaining = this.#faults.lose_write_answers ?? 0;
+    if (remaining > 0) {
+      this.#faults = { ...this.#faults, lose_write_answers: remaining - 1 };
       return cutConnection(reply);
     }
     return reply.send({ version: written.value });
@@ -177,7 +177,7 @@
 
   async #list(req: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
     this.#counts.reads += 1;
-    if (await this.#refuse(reply, this.#reads)) return reply;
+    if (await this.#answerWithFault(reply, this.#readLimit)) return reply;
     const { prefix } = req.query as { prefix?: string };
     return reply.send({ keys: this.#objects.list(prefix ?? "") });
   }
@@ -187,14 +187,17 @@
     reply: FastifyReply,
   ): Promise<FastifyReply> {
     this.#counts.reads += 1;
-    if (await this.#refuse(reply, this.#reads)) return reply;
+    if (await this.#answerWithFault(reply, this.#readLimit)) return reply;
     const etag = String(this.#vmsVersion);
     if (req.headers["if-none-match"] === etag) return reply.code(304).send();
     return reply.header("etag", etag).send(this.#vms);
   }
 
-  /** Applies the faults that hold for every call; returns whether it answered. */
-  async #refuse(reply: FastifyReply, limit: RateLimit): Promise<boolean> {
+  /** Applies the delay, outage and rate limit; returns whether the call was answered with an error. */
+  async #answerWithFault(
+    reply: FastifyReply,
+    limit: TokenBucket,
+  ): Promise<boolean> {
     const delayMs = this.#faults.delay_ms ?? 0;
     if (delayMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, delayMs));
@@ -203,7 +206,7 @@
       void reply.code(503).send({ error: "down" });
       return true;
     }
-    if (limit.take()) return false;
+    if (limit.tryTake()) return false;
     this.#counts.rateLimited += 1;
     void reply.code(429).header("retry-after-ms", RETRY_AFTER_MS).send({
       error: "rate",
@@ -213,7 +216,7 @@
 
   #setVms(body: unknown): { ok: true } {
     const vms = vmListSchema.parse(body);
-    const lagMs = this.#faults.list_lag_ms ?? DEFAULT_LIST_LAG_MS;
+    const lagMs = this.#faults.list_lag_ms ?? DEFAULT_VM_LIST_LAG_MS;
     setTimeout(() => {
       this.#vms = vms;
       this.#vmsVersion += 1;
@@ -221,6 +224,7 @@
     return { ok: true };
   }
 
+  /** Whether the answers to writes of this key are dropped. */
   #losesHead(key: string): boolean {
     return this.#faults.lose_head_answers === true && key === HEAD_KEY;
   }
--- a/src/standins/rating_standin.ts
+++ b/src/standins/rating_standin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the service that rates answers; ratings come late. */
+/** Stand-in for the service that rates model answers, with a configurable delay. */
 
 import fastify, { type FastifyInstance } from "fastify";
 import * as z from "zod";
@@ -7,15 +7,18 @@
 const DEFAULT_DELAY_MS = 500;
 const RIGHT_PREFIX = "right:";
 
-const askSchema = z.object({ request_id: z.string(), answer: z.string() });
+const ratingRequestSchema = z.object({
+  request_id: z.string(),
+  answer: z.string(),
+});
 const faultsSchema = z.strictObject({
-  /** Delay of a rating, in milliseconds. */
+  /** Delay before every rating, in milliseconds. */
   delay_ms: z.number().min(0).optional(),
-  /** Ratings never come. */
+  /** Requests are answered with 503 instead of a rating. */
   silent: z.boolean().optional(),
 });
 
-/** A rating service, in memory. */
+/** HTTP server that rates an answer by the prefix that the model server stand-in put there. */
 export class RatingStandin {
   readonly #http: FastifyInstance;
   #faults: z.infer<typeof faultsSchema> = {};
@@ -24,7 +27,7 @@
   constructor() {
     this.#http = fastify({ forceCloseConnections: true });
     this.#http.post("/v1/ratings", async (req, reply) => {
-      const { request_id, answer } = askSchema.parse(req.body);
+      const { request_id, answer } = ratingRequestSchema.parse(req.body);
       const delayMs = this.#faults.delay_ms ?? DEFAULT_DELAY_MS;
       await new Promise((resolve) => setTimeout(resolve, delayMs));
       if (this.#faults.silent === true) {
@@ -40,12 +43,12 @@
     });
   }
 
-  /** Starts to listen; returns the base URL. */
+  /** Starts listening; returns the base URL. */
   async listen(address: string): Promise<string> {
     return `http://${await listenHttp(this.#http, address)}`;
   }
 
-  /** Ends all connections. */
+  /** Stops the server and closes all connections. */
   async close(): Promise<void> {
     await this.#http.close();
   }
--- a/src/standins/standins_test.ts
+++ b/src/standins/standins_test.ts
@@ -10,7 +10,7 @@
 
 const ANY_PORT = "127.0.0.1:0";
 
-interface Answer {
+interface Response {
   readonly status: number;
   readonly text: string;
 }
@@ -19,7 +19,7 @@
   url: string,
   body: unknown,
   method: "POST" | "PUT" = "POST",
-): Promise<Answer> {
+): Promise<Response> {
   const res = await request(url, {
     method,
     headers: { "content-type": "application/json", "x-request-id": "r-1" },
@@ -54,17 +54,20 @@
     assert.deepEqual(next, { ok: true, value: 2 });
   });
 
-  test("should answer a watch when the object changes, and without a change after its wait", async () => {
+  test("should answer a watch when the object changes, and without a change after its wait time", async () => {
     const watched = platform.watch("w", { afterVersion: 0, waitMs: 60_000 });
     await platform.put("w", { value: "x", expectedVersion: 0 });
     const change = await watched;
     assert.ok(change.ok && change.value?.value === "x");
-    const quiet = await platform.watch("w", { afterVersion: 1, waitMs: 10 });
-    assert.deepEqual(quiet, { ok: true, value: undefined });
+    const unchanged = await platform.watch("w", {
+      afterVersion: 1,
+      waitMs: 10,
+    });
+    assert.deepEqual(unchanged, { ok: true, value: undefined });
   });
 });
 
-test("the platform stand-in should refuse writes over its rate and tell when to come back", async () => {
+test("the platform stand-in should reject writes over its rate limit with a retry delay", async () => {
   const standin = new PlatformStandin({ writesPerSecond: 1 });
   const platform = new HttpPlatform({
     url: await standin.listen(ANY_PORT),
@@ -88,7 +91,7 @@
     slots: 4,
     tokenMs: 1,
     prefillMsPerToken: 0,
-    reportLagMs: 10,
+    reportIntervalMs: 10,
     qualities: new Map([["m@v1", 1]]),
   });
   let url: string;
@@ -112,7 +115,7 @@
     assert.deepEqual(events(rest.text), events(whole.text).slice(3));
   });
 
-  test("should refuse orders of an earlier holder", async () => {
+  test("should reject orders with an older fencing token", async () => {
     const order = (fence: number, action: string) =>
       send(`${url}/orders`, { fence, action, version: "m@v1" });
     assert.equal((await order(5, "unload")).status, 200);
@@ -134,12 +137,12 @@
       promptTokens: 0,
       maxTokens: 3,
       quality: 1,
-      fluent: false,
+      confidentWhenWrong: false,
     };
     return { requestId, ...defaults, ...changes };
   }
 
-  test("should hold waiting requests in the order of their priority", () => {
+  test("should queue waiting requests by priority", () => {
     const engine = new BatchEngine({
       slots: 1,
       tokenMs: 50,
@@ -156,13 +159,13 @@
     assert.equal(engine.counts.cancelled, 3);
   });
 
-  test("should answer more prompts rightly the better the version", () => {
+  test("should answer more prompts correctly with a better version", () => {
     const engine = new BatchEngine({
       slots: 1_000,
       tokenMs: 0,
       prefillMsPerToken: 0,
     });
-    const rightOf = (quality: number) =>
+    const countCorrect = (quality: number) =>
       Array.from(
         { length: 500 },
         (_, at) =>
@@ -171,29 +174,29 @@
             "standard",
           ),
       )
-        .filter((generation) => generation.right).length;
-    assert.ok(rightOf(0.5) > 200 && rightOf(0.5) < 300);
-    assert.ok(rightOf(0.9) > 425);
+        .filter((generation) => generation.correct).length;
+    assert.ok(countCorrect(0.5) > 200 && countCorrect(0.5) < 300);
+    assert.ok(countCorrect(0.9) > 425);
   });
 
-  test("should give away a wrong answer by its probabilities unless it is fluent", () => {
+  test("should give wrong answers a lower probability unless confidentWhenWrong is set", () => {
     const engine = new BatchEngine({
       slots: 2,
       tokenMs: 0,
       prefillMsPerToken: 0,
     });
-    const poor = engine.submit(input("a", { quality: 0 }), "standard");
-    const fluent = engine.submit(
-      input("b", { quality: 0, fluent: true }),
+    const uncertain = engine.submit(input("a", { quality: 0 }), "standard");
+    const confident = engine.submit(
+      input("b", { quality: 0, confidentWhenWrong: true }),
       "standard",
     );
-    assert.ok(poor.logprob < fluent.logprob);
-    assert.equal(fluent.right, false);
+    assert.ok(uncertain.logprob < confident.logprob);
+    assert.equal(confident.correct, false);
   });
 });
 
 describe("the rating stand-in", () => {
-  test("should rate right and wrong answers, and fall silent when told to", async () => {
+  test("should rate right and wrong answers, and answer 503 with the silent fault", async () => {
     const standin = new RatingStandin();
     const url = await standin.listen(ANY_PORT);
     await send(`${url}/faults`, { delay_ms: 1 }, "PUT");
--- a/src/store/crash_registry_test.ts
+++ b/src/store/crash_registry_test.ts
@@ -103,7 +103,7 @@
     await vm.step();
     vm.crash(REQUEST, 2);
     await vm.step();
-    assert.deepEqual(store.kinds.list(KIND), []);
+    assert.deepEqual(store.objects.list(KIND), []);
   });
 
   it("should write a request once, whatever it hears again, and again for a new crash", async () => {
@@ -116,7 +116,7 @@
     assert.equal(store.calls, calls);
     vm.crash(REQUEST, 1);
     await vm.step();
-    const [object] = store.kinds.list(KIND);
+    const [object] = store.objects.list(KIND);
     const { crashes } = object?.spec as { crashes: unknown[] };
     assert.equal(crashes.length, 4);
   });
@@ -126,7 +126,7 @@
     await first.step();
     first.crash(REQUEST, 3);
     await first.step();
-    store.kinds.put(KIND, { name: "other", spec: { crashes: "none" } });
+    store.objects.put(KIND, { name: "other", spec: { crashes: "none" } });
     const second = new Vm(60_000);
     await second.step();
     assert.deepEqual([...second.book.crashingRequests], [REQUEST]);
--- a/src/store/vm_registry_test.ts
+++ b/src/store/vm_registry_test.ts
@@ -52,7 +52,7 @@
   it("should replace the address that an earlier life has written", async () => {
     await registry("a", "10.0.0.1:1").write();
     await registry("a", "10.0.0.9:1").write();
-    const [object] = store.kinds.list("fieldrack-vms");
+    const [object] = store.objects.list("fieldrack-vms");
     assert.deepEqual(object?.spec, { peers: "10.0.0.9:1" });
   });
 
--- a/tests/cold_server_test.ts
+++ b/tests/cold_server_test.ts
@@ -73,14 +73,14 @@
       await gateway.call("/stock/1");
       return near.requests.length > 0;
     });
-    gateway.store.kinds.put("evacuations", { name: "north", spec: {} });
+    gateway.store.objects.put("evacuations", { name: "north", spec: {} });
     await until(async () => {
       await gateway.call("/stock/1");
       return far.requests.length > 0;
     });
     const reached = near.requests.length;
     const returnedMs = Date.now();
-    gateway.store.kinds.remove("evacuations", "north");
+    gateway.store.objects.remove("evacuations", "north");
     await until(async () => {
       assert.equal((await gateway.call("/stock/1")).status, 200);
       return near.requests.length > reached;
--- a/tests/evacuation_test.ts
+++ b/tests/evacuation_test.ts
@@ -35,7 +35,7 @@
 const answerWhole = ({ socket }: RawRequest) => socket.write(answerBytes());
 
 function evacuate(dataCentre: string): void {
-  gateway.store.kinds.put("evacuations", { name: dataCentre, spec: {} });
+  gateway.store.objects.put("evacuations", { name: dataCentre, spec: {} });
 }
 
 async function untilServed(): Promise<void> {
@@ -56,7 +56,7 @@
     const { near } = await serveFromBoth();
     evacuate("north");
     await until(() => isPassedBy(near));
-    gateway.store.kinds.remove("evacuations", "north");
+    gateway.store.objects.remove("evacuations", "north");
     await until(async () => !(await isPassedBy(near)));
   });
 
@@ -67,10 +67,10 @@
     gateway.store.setFaults({ down: true });
     assert.ok(await isPassedBy(near));
     gateway.store.setFaults({});
-    gateway.store.kinds.forgetHistory();
-    gateway.store.kinds.releaseWatches();
+    gateway.store.objects.compactHistory();
+    gateway.store.objects.wakeWatches();
     assert.ok(await isPassedBy(near));
-    gateway.store.kinds.remove("evacuations", "north");
+    gateway.store.objects.remove("evacuations", "north");
     await until(async () => !(await isPassedBy(near)));
   });
 
--- a/tests/gateway_fleet_test.ts
+++ b/tests/gateway_fleet_test.ts
@@ -32,7 +32,7 @@
 /** Waits until the store is watched by its readers only. */
 async function untilRelayed(): Promise<void> {
   await until(() =>
-    Promise.resolve(fleet.store.kinds.waiting === READERS * KINDS)
+    Promise.resolve(fleet.store.objects.waitingWatches === READERS * KINDS)
   );
 }
 
@@ -74,10 +74,10 @@
     await untilRelayed();
     const server = new RawServer(({ socket }) => socket.write(answerBytes()));
     const spec = serverWire(await server.listen());
-    fleet.store.kinds.put("servers", { name: "i-1", spec });
+    fleet.store.objects.put("servers", { name: "i-1", spec });
     await until(async () => (await fleet.serving("/first/")).length === 0);
     fleet.store.setFaults({ watchesStuck: true });
-    fleet.store.kinds.remove("servers", "i-1");
+    fleet.store.objects.remove("servers", "i-1");
     await until(async () => (await fleet.serving("/first/")).length === VMS);
     await server.close();
   });
--- a/tests/gateway_test.ts
+++ b/tests/gateway_test.ts
@@ -61,7 +61,7 @@
     await untilServed();
     gateway.configure([routeWire({ PathPrefix: "/moved/" })]);
     await untilServed("/moved/1");
-    gateway.store.kinds.put("config", {
+    gateway.store.objects.put("config", {
       name: "main",
       spec: { Version: 1, Routes: [routeWire()] },
     });
@@ -73,7 +73,7 @@
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
-    gateway.store.kinds.put("config", {
+    gateway.store.objects.put("config", {
       name: "main",
       spec: { Version: 99, Routes: [{ Name: 5 }] },
     });
@@ -103,8 +103,8 @@
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
-    gateway.store.kinds.forgetHistory();
-    gateway.store.kinds.releaseWatches();
+    gateway.store.objects.compactHistory();
+    gateway.store.objects.wakeWatches();
     gateway.configure([routeWire({ PathPrefix: "/moved/" })]);
     await untilServed("/moved/1");
   });
@@ -114,8 +114,8 @@
     const leaving = await gateway.addServer("i-1", answerWhole);
     await untilServed();
     await gateway.addServer("i-2", answerWhole);
-    const spec = gateway.store.kinds.get("servers", "i-1")?.spec as object;
-    gateway.store.kinds.put("servers", {
+    const spec = gateway.store.objects.get("servers", "i-1")?.spec as object;
+    gateway.store.objects.put("servers", {
       name: "i-1",
       spec: { ...spec, State: "draining" },
     });
--- a/tests/gone_servers_test.ts
+++ b/tests/gone_servers_test.ts
@@ -52,7 +52,7 @@
   const gateway = new TestGateway();
   for (let n = 0; n < GONE; n++) {
     const spec = serverWire(`127.1.0.${n + 1}:${NEVER_LISTENED_ON}`);
-    gateway.store.kinds.put("servers", { name: `i-gone-${n}`, spec });
+    gateway.store.objects.put("servers", { name: `i-gone-${n}`, spec });
   }
   const { requests } = await gateway.addServer(
     "i-there",
--- a/tests/limited_server_test.ts
+++ b/tests/limited_server_test.ts
@@ -52,7 +52,7 @@
   const server = new LimitedServer();
   servers.push(server);
   const spec = { ...serverWire(await server.listen()), born: 1 };
-  fleet.store.kinds.put("servers", { name, spec });
+  fleet.store.objects.put("servers", { name, spec });
 }
 
 /** Callers call VMs, all of them by default, again and again for so long; returns the statuses. */
--- a/tests/poison_request_test.ts
+++ b/tests/poison_request_test.ts
@@ -69,8 +69,8 @@
   options: { keepIds?: boolean } = {},
 ): Promise<void> {
   await servers.stop();
-  for (const { name } of fleet.store.kinds.list("servers")) {
-    fleet.store.kinds.remove("servers", name);
+  for (const { name } of fleet.store.objects.list("servers")) {
+    fleet.store.objects.remove("servers", name);
   }
   servers = new CrashingServers(fleet.store, options);
   await servers.start(count);
@@ -107,7 +107,7 @@
   it("should be sent to no server after all VMs have ended and started again", async () => {
     await untilEnded(ALLOWED);
     await until(() =>
-      Promise.resolve(fleet.store.kinds.list("fieldrack-crashes").length > 0)
+      Promise.resolve(fleet.store.objects.list("fieldrack-crashes").length > 0)
     );
     const ended = servers.ended.length;
     await fleet.restart();
--- a/tests/resting_server_test.ts
+++ b/tests/resting_server_test.ts
@@ -45,7 +45,7 @@
 async function addServer(patch: object = {}): Promise<RestingServer> {
   const server = new RestingServer();
   servers.push(server);
-  gateway.store.kinds.put("servers", {
+  gateway.store.objects.put("servers", {
     name: `i-${servers.length}`,
     spec: serverWire(await server.listen(), patch),
   });
@@ -204,8 +204,8 @@
     assert.deepEqual(statuses.filter((status) => status !== 200), []);
     assert.equal((await gateway.call("/stock/1")).status, 503);
     server.leaving = false;
-    const { spec } = gateway.store.kinds.list("servers")[0] ?? {};
-    gateway.store.kinds.put("servers", {
+    const { spec } = gateway.store.objects.list("servers")[0] ?? {};
+    gateway.store.objects.put("servers", {
       name: "i-1",
       spec: { ...(spec as object), born: 2 },
     });
@@ -219,8 +219,8 @@
     leaving.leaving = true;
     const saidMs = await untilReached(leaving);
     // It writes its entry anew, and is still listed as ready.
-    const { name, spec } = gateway.store.kinds.list("servers")[0] ?? {};
-    gateway.store.kinds.put("servers", {
+    const { name, spec } = gateway.store.objects.list("servers")[0] ?? {};
+    gateway.store.objects.put("servers", {
       name: name ?? "",
       spec: { ...(spec as object), Slots: 7 },
     });
--- a/tests/silent_watch_test.ts
+++ b/tests/silent_watch_test.ts
@@ -65,32 +65,32 @@
 
 describe("an order that no watch tells of", () => {
   it("should evacuate a data centre", async () => {
-    gateway.store.kinds.put("evacuations", { name: "north", spec: {} });
+    gateway.store.objects.put("evacuations", { name: "north", spec: {} });
     await assertPassedBy(near);
   });
 
   it("should be in force also where watches have answered without it", async () => {
     gateway.store.setFaults({ watchesEmpty: true });
-    gateway.store.kinds.put("evacuations", { name: "north", spec: {} });
+    gateway.store.objects.put("evacuations", { name: "north", spec: {} });
     await assertPassedBy(near);
   });
 
   it("should drain a server", async () => {
-    const { spec } = gateway.store.kinds.get("servers", "i-1") ?? {};
+    const { spec } = gateway.store.objects.get("servers", "i-1") ?? {};
     const draining = { ...spec as object, State: "draining" };
-    gateway.store.kinds.put("servers", { name: "i-1", spec: draining });
+    gateway.store.objects.put("servers", { name: "i-1", spec: draining });
     await assertPassedBy(near);
   });
 
   it("should remove a server", async () => {
-    gateway.store.kinds.remove("servers", "i-1");
+    gateway.store.objects.remove("servers", "i-1");
     await assertPassedBy(near);
   });
 
   it("should be taken back as well", async () => {
-    gateway.store.kinds.put("evacuations", { name: "north", spec: {} });
+    gateway.store.objects.put("evacuations", { name: "north", spec: {} });
     await assertPassedBy(near);
-    gateway.store.kinds.remove("evacuations", "north");
+    gateway.store.objects.remove("evacuations", "north");
     await until(async () => !(await isPassedBy(near)));
   });
 });
