--- a/src/cli/apply_command.ts
+++ b/src/cli/apply_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack apply DIR`. */
+/** The `fieldrack apply DIR` command. */
 
 import { randomUUID } from "node:crypto";
 import process from "node:process";
@@ -23,27 +23,27 @@
   readonly timeout: number;
 }
 
-/** Applies a directory as a whole. */
+/** Applies all files of a configuration directory as one revision. */
 export const applyCommand: CommandModule<object, Arguments> = {
   command: "apply <directory>",
-  describe: "Apply a directory of configuration files as a whole",
+  describe: "Apply a directory of configuration files as one revision",
   builder: (args) =>
     args.positional("directory", { type: "string", demandOption: true })
       .option("platform", platformOption)
       .option("expect", {
         type: "number",
-        describe: "Revision that must be in force, as `diff` printed it",
+        describe: "Revision that must be in force, as printed by `diff`",
       })
       .option("apply-id", {
         type: "string",
         default: randomUUID(),
-        defaultDescription: "a new one",
-        describe: "Id of an earlier apply, to settle whether it took effect",
+        defaultDescription: "a new id",
+        describe: "Id of an earlier apply, to find out whether it took effect",
       })
       .option("timeout", {
         type: "number",
         default: 15,
-        describe: "Seconds to go on while the platform is away",
+        describe: "Seconds to keep retrying while the platform is unreachable",
       })
       .option("json", {
         type: "boolean",
@@ -52,7 +52,7 @@
       })
       .example(
         "$0 apply examples/garden --platform http://10.0.0.9:9000",
-        "Apply the example of the garden centres",
+        "Apply the garden centre example",
       ),
   handler: async (args) => {
     const cfg = readDirectory(args.directory, args);
@@ -98,12 +98,12 @@
     case "unchanged":
       return `Unchanged; revision ${outcome.revision} is in force`;
     case "conflict":
-      return `Conflict: this was based on revision ${outcome.basedOn}, but revision ` +
+      return `Conflict: this apply was based on revision ${outcome.basedOn}, but revision ` +
         `${outcome.current} is in force; nothing was applied; run diff, then apply again`;
     case "unavailable":
-      return `Nothing was applied: ${outcome.reason}; retry when the platform is back`;
+      return `Nothing was applied: ${outcome.reason}; retry when the platform is reachable`;
     case "unknown":
       return `Outcome is unknown: ${outcome.reason}; run the same command with ` +
-        `--apply-id ${args["apply-id"]} to settle it`;
+        `--apply-id ${args["apply-id"]} to find out whether it took effect`;
   }
 }
--- a/src/cli/check_command.ts
+++ b/src/cli/check_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack check DIR`. */
+/** The `fieldrack check DIR` command. */
 
 import type { CommandModule } from "yargs";
 import { SECTIONS } from "../core/config/configuration.ts";
@@ -10,10 +10,10 @@
   readonly json: boolean;
 }
 
-/** Checks a directory without applying it. */
+/** Validates a configuration directory without applying it. */
 export const checkCommand: CommandModule<object, Arguments> = {
   command: "check <directory>",
-  describe: "Check a directory of configuration files",
+  describe: "Validate a directory of configuration files",
   builder: (args) =>
     args.positional("directory", { type: "string", demandOption: true })
       .option("json", {
@@ -23,7 +23,7 @@
       })
       .example(
         "$0 check examples/garden",
-        "Check the example of the garden centres",
+        "Validate the garden centre example",
       ),
   handler: ({ directory, json }) => {
     const cfg = readDirectory(directory, { json });
@@ -32,7 +32,7 @@
       [section, cfg[section].length] as const
     );
     if (json) printJson({ ok: true, counts: Object.fromEntries(counts) });
-    else {printLine(`Good: ${
+    else {printLine(`Valid: ${
         counts.map(([name, count]) => `${count} ${name}`).join(", ")
       }`);}
   },
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** All commands of the `fieldrack` program. */
+/** Command line parser with all commands of the `fieldrack` program. */
 
 import process from "node:process";
 import yargs from "yargs";
@@ -14,7 +14,7 @@
 import { standinCommand } from "./standin_command.ts";
 import { statusCommand } from "./status_command.ts";
 
-/** Set when the program is bundled. */
+/** Defined by the bundler; absent when run from source. */
 declare const FIELDRACK_VERSION: string;
 
 void yargs(hideBin(process.argv))
@@ -31,7 +31,7 @@
   .command(hashKeyCommand)
   .command(demoCommand)
   .command(standinCommand)
-  .demandCommand(1, "Name a command; --help lists them")
+  .demandCommand(1, "No command given; --help lists the commands")
   .strict()
   .fail((message, err, parser) => {
     process.stderr.write(`${message ?? String(err)}\n`);
@@ -39,7 +39,7 @@
     process.exit(err === undefined ? ExitCode.Usage : ExitCode.Failed);
   })
   .epilogue(
-    "Exit codes: 0 done, 1 refused or failed, 2 wrong usage, " +
-      "3 conflict with another operator, 4 outcome unknown, 5 not reachable",
+    "Exit codes: 0 success, 1 rejected or failed, 2 usage error, " +
+      "3 conflict with another operator, 4 outcome unknown, 5 unreachable",
   )
   .parse();
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack demo`. */
+/** The `fieldrack demo` command. */
 
 import process from "node:process";
 import type { CommandModule } from "yargs";
@@ -11,30 +11,31 @@
   readonly config: string[];
 }
 
-/** Starts both users' example configurations on loopback. */
+/** Runs a fleet on loopback for each configuration directory, by default for both examples. */
 export const demoCommand: CommandModule<object, Arguments> = {
   command: "demo",
-  describe: "Run stand-ins and three entries for each example, on loopback",
+  describe: "Run stand-ins and three entries on loopback for each example",
   builder: (args) =>
     args.option("config", {
       type: "string",
       array: true,
       default: ["examples/garden", "examples/inspection"],
-      describe: "Configuration directories, a fleet each",
+      describe: "Configuration directories; a fleet is started for each",
     }),
   handler: async ({ config }) => {
-    // All are read before the first starts, so that a bad one leaves nothing running.
+    // All directories are read before the first fleet starts, so that an invalid one leaves
+    // nothing running.
     const configurations = config.map((directory) =>
       readDirectory(directory, { json: false })
     );
     if (configurations.includes(undefined)) return;
     const fleets: DemoFleet[] = [];
-    for (const [at, cfg] of configurations.entries()) {
+    for (const [index, cfg] of configurations.entries()) {
       if (cfg === undefined) continue;
       const fleet = new DemoFleet(cfg);
       const { platform, entries } = await fleet.start();
       fleets.push(fleet);
-      printLine(`\n${config[at]}: platform stand-in ${platform}`);
+      printLine(`\n${config[index]}: platform stand-in ${platform}`);
       for (const { id, dataCentre, callers, operators } of entries) {
         printLine(
           `  ${id} in ${dataCentre}: callers ${callers}, operators ${operators}`,
@@ -46,7 +47,7 @@
       printLine(`    -H 'Authorization: Bearer demo-${account.id}' \\`);
       printLine(`    -d '${exampleBody(account.models[0] ?? "")}'`);
     }
-    printLine("\nRunning; Ctrl-C ends it");
+    printLine("\nRunning; press Ctrl-C to stop");
     const stop = () => {
       void Promise.all(fleets.map((fleet) => fleet.stop())).then(() =>
         process.exit(ExitCode.Done)
--- a/src/cli/diff_command.ts
+++ b/src/cli/diff_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack diff DIR`. */
+/** The `fieldrack diff DIR` command. */
 
 import process from "node:process";
 import type { CommandModule } from "yargs";
@@ -21,7 +21,7 @@
 import { readDirectory } from "./read_directory.ts";
 import { platformOption, withPlatform } from "./platform_option.ts";
 
-const SIGNS: Record<Change["kind"], string> = {
+const CHANGE_SIGNS: Record<Change["kind"], string> = {
   added: "+",
   removed: "-",
   changed: "~",
@@ -33,12 +33,12 @@
   readonly json: boolean;
 }
 
-interface Accepted {
+interface AcceptedConfiguration {
   readonly revision: Revision;
   readonly configuration: Configuration;
 }
 
-/** Compares a directory with what is in force. */
+/** Compares a directory with the configuration in force. */
 export const diffCommand: CommandModule<object, Arguments> = {
   command: "diff <directory>",
   describe: "Show what applying a directory would change",
@@ -52,12 +52,15 @@
       })
       .example(
         "$0 diff examples/garden --platform http://10.0.0.9:9000",
-        "Compare the example with what is in force",
+        "Compare the example with the configuration in force",
       ),
   handler: async (args) => {
     const cfg = readDirectory(args.directory, args);
     if (cfg === undefined) return;
-    const accepted = await withPlatform(args.platform, readAccepted);
+    const accepted = await withPlatform(
+      args.platform,
+      readAcceptedConfiguration,
+    );
     if (!accepted.ok) {
       printError(accepted.error);
       process.exitCode = ExitCode.Unreachable;
@@ -67,15 +70,15 @@
     const changes = diffConfigurations(configuration, cfg);
     if (args.json) return printJson({ revision, changes });
     for (const { kind, section, id } of changes) {
-      printLine(`${SIGNS[kind]} ${section} ${id}`);
+      printLine(`${CHANGE_SIGNS[kind]} ${section} ${id}`);
     }
     printLine(`${changes.length} change(s) from revision ${revision}`);
   },
 };
 
-async function readAccepted(
+async function readAcceptedConfiguration(
   platform: Platform,
-): Promise<Result<Accepted, string>> {
+): Promise<Result<AcceptedConfiguration, string>> {
   const record = await readHead(platform);
   if (!record.ok) return fail(describePlatformError(record.error));
   const { head } = record.value;
--- a/src/cli/entry_command.ts
+++ b/src/cli/entry_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack entry`. */
+/** The `fieldrack entry` command. */
 
 import process from "node:process";
 import type { CommandModule } from "yargs";
@@ -12,10 +12,10 @@
   readonly config: string;
 }
 
-/** Runs an entry until it is told to stop. */
+/** Runs an entry until a signal stops it. */
 export const entryCommand: CommandModule<object, Arguments> = {
   command: "entry",
-  describe: "Run an entry: the one long-running program",
+  describe: "Run an entry, the long-running process that serves callers",
   builder: (args) =>
     args.option("config", {
       alias: "c",
@@ -25,8 +25,8 @@
     })
       .example("$0 entry -c entry.yaml", "Run an entry")
       .epilogue(
-        "SIGTERM stops as planned: callers that keep the address are served on.\n" +
-          "A second SIGTERM, or SIGINT, stops once the requests in flight have ended.",
+        "SIGTERM drains the entry: callers that still use its address are served.\n" +
+          "A second SIGTERM, or SIGINT, stops it once the requests in flight have ended.",
       ),
   handler: async ({ config }) => {
     const loaded = readSettings(config);
--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -1,15 +1,15 @@
-/** Exit codes of all commands. */
+/** Exit codes shared by all commands. */
 
-/** Part of the command line's contract; listed by `--help`. */
+/** Public interface of the command line; `--help` lists these values. */
 export const ExitCode = {
   Done: 0,
-  /** Input was refused, or the command failed. */
+  /** The input was rejected or the command failed. */
   Failed: 1,
   Usage: 2,
-  /** Another operator was faster. */
+  /** Another operator applied a change first. */
   Conflict: 3,
-  /** It may or may not have taken effect. */
+  /** The change may or may not have taken effect. */
   Unknown: 4,
-  /** Platform or entry could not be reached; nothing took effect. */
+  /** The platform or an entry could not be reached; nothing took effect. */
   Unreachable: 5,
 } as const;
--- a/src/cli/gateway_command.ts
+++ b/src/cli/gateway_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack gateway`. */
+/** The `fieldrack gateway` command. */
 
 import { readFileSync, watchFile } from "node:fs";
 import process from "node:process";
@@ -16,35 +16,41 @@
 import { ExitCode } from "./exit_code.ts";
 import { printError } from "./output.ts";
 
-const STANDARD_OUTPUT = 1;
-/** Time between looks at the settings file, which changes rarely. */
-const SETTINGS_CHECK_MS = 5_000;
+const STDOUT_FD = 1;
+/** Poll interval for changes of the settings file, which changes rarely. */
+const SETTINGS_POLL_INTERVAL_MS = 5_000;
 
 interface Arguments {
   readonly settings?: string;
 }
 
-/** Runs a VM of the users' platform until it is told to stop. */
+/** Runs a gateway VM on the users' platform until SIGTERM. */
 export const gatewayCommand: CommandModule<object, Arguments> = {
   command: "gateway",
-  describe: "Run a VM on the users' platform",
+  describe: "Run a gateway VM on the users' platform",
   builder: (args) =>
     args.option("settings", {
       type: "string",
-      describe:
-        `Settings file; by default the one that ${SETTINGS_VARIABLE} names`,
+      describe: `Settings file; defaults to the path in ${SETTINGS_VARIABLE}`,
     })
-      .example("$0 gateway", "Run by the platform's settings")
-      .epilogue("SIGTERM stops as planned. SIGHUP reads the settings again."),
+      .example(
+        "$0 gateway",
+        "Run with the settings file that the platform provides",
+      )
+      .epilogue(
+        "SIGTERM drains and stops the gateway. SIGHUP reloads the settings.",
+      ),
   handler: ({ settings }) => runGateway(settings),
 };
 
-/** Runs a gateway by a settings file. */
+/** Runs a gateway with the settings at `path`; reloads them on SIGHUP and when the file changes. */
 export async function runGateway(
   path = process.env[SETTINGS_VARIABLE],
 ): Promise<void> {
   if (path === undefined) {
-    printError(`Name a settings file with --settings or ${SETTINGS_VARIABLE}`);
+    printError(
+      `No settings file given; set --settings or ${SETTINGS_VARIABLE}`,
+    );
     process.exit(ExitCode.Usage);
   }
   const settings = readVmSettings(path);
@@ -55,7 +61,7 @@
   const { vm, dataCentre } = settings.value;
   const logger = new ProcessLogger(
     { vm, data_centre: dataCentre },
-    new LineWriter(openForLines(STANDARD_OUTPUT)),
+    new LineWriter(openForLines(STDOUT_FD)),
   );
   const gateway = new GatewayProcess({ vmSettings: settings.value, logger });
   process.on("SIGTERM", () => {
@@ -65,24 +71,31 @@
     const changed = readVmSettings(path);
     if (changed.ok) gateway.reload(changed.value);
     else {
-      logger.warn("Settings are not understood; the last ones stay", {
-        reason: changed.error,
-      });
+      logger.warn(
+        "Settings file cannot be read or is invalid; keeping the previous settings",
+        {
+          reason: changed.error,
+        },
+      );
     }
   };
   process.on("SIGHUP", reload);
-  // The file may change without a signal.
-  watchFile(path, { interval: SETTINGS_CHECK_MS, persistent: false }, reload);
+  // The platform may change the file without sending a signal.
+  watchFile(
+    path,
+    { interval: SETTINGS_POLL_INTERVAL_MS, persistent: false },
+    reload,
+  );
   await gateway.start();
 }
 
-/** Reads a settings file; the error says what is wrong and where. */
+/** Reads a settings file; the error names the problem and its position. */
 function readVmSettings(path: string): Result<VmSettings, string> {
   let text: string;
   try {
     text = readFileSync(path, "utf8");
   } catch (err) {
-    return fail(`Settings cannot be read: ${(err as Error).message}`);
+    return fail(`Settings file cannot be read: ${(err as Error).message}`);
   }
   const decoded = decodeVmSettings(text);
   if (decoded.ok) return decoded;
--- a/src/cli/gateway_main.ts
+++ b/src/cli/gateway_main.ts
@@ -1,4 +1,4 @@
-/** The gateway alone, for VMs that restart often: nothing else is loaded. */
+/** Entry point that loads only the gateway, for a fast start on VMs that restart often. */
 
 import { runGateway } from "./gateway_command.ts";
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,7 @@
-/** The `fieldrack` program. Loads only what its command needs: VMs restart often. */
+/**
+ * Entry point of the `fieldrack` program. `fieldrack gateway` without arguments loads only the
+ * gateway, for a fast start on VMs that restart often.
+ */
 
 import process from "node:process";
 
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,4 +1,4 @@
-/** Calls of the operators' interface of entries. */
+/** Client of the operators' interface of entries. */
 
 import { request } from "undici";
 import { fail, ok, type Result } from "../core/result.ts";
@@ -7,20 +7,20 @@
   entryStatusSchema,
 } from "../protocol/status_schema.ts";
 
-const TIMEOUT_MS = 2_000;
+const STATUS_TIMEOUT_MS = 2_000;
 
-/** Asks the entry at `address` for its status. */
+/** Fetches the status of the entry at `address`; the error is a text for the operator. */
 export async function fetchStatus(
   address: string,
 ): Promise<Result<EntryStatus, string>> {
   try {
     const res = await request(`http://${address}/status`, {
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(STATUS_TIMEOUT_MS),
     });
     const parsed = entryStatusSchema.safeParse(await res.body.json());
     if (parsed.success) return ok(parsed.data);
     return fail(
-      `${address} answered in an unknown form; is it an operators' address?`,
+      `${address} sent an invalid status response; is it an operators' address?`,
     );
   } catch (err) {
     const { code, message } = err as NodeJS.ErrnoException;
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** Printing of results and problems. */
+/** Printing of results and problems on standard output and standard error. */
 
 import process from "node:process";
 import { type FileProblem, formatProblem } from "../files/file_problem.ts";
@@ -18,17 +18,19 @@
   printLine(JSON.stringify(value));
 }
 
-/** Prints what is wrong in files, a line each. */
+/** Prints problems as JSON on standard output, or one per line on standard error. */
 export function printProblems(
   problems: readonly FileProblem[],
   { json }: { json: boolean },
 ): void {
   if (json) return printJson({ ok: false, problems });
   for (const problem of problems) printError(formatProblem(problem));
-  printError(`${problems.length} problem(s); mend them and run this again`);
+  printError(
+    `${problems.length} problem(s); fix them and run the command again`,
+  );
 }
 
-/** Prints rows as a table with aligned columns. */
+/** Prints rows as a table with aligned columns; the first row sets the number of columns. */
 export function printTable(rows: readonly (readonly string[])[]): void {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0))
--- a/src/cli/platform_option.ts
+++ b/src/cli/platform_option.ts
@@ -1,22 +1,22 @@
-/** The option that names the platform. */
+/** The `--platform` option and the client that it configures. */
 
 import { HttpPlatform } from "../platform/http_platform.ts";
 
-const TIMEOUT_MS = 2_000;
+const PLATFORM_TIMEOUT_MS = 2_000;
 
-/** Option of all commands that need the platform. */
+/** Option of all commands that connect to the platform. */
 export const platformOption = {
   type: "string",
   demandOption: true,
   describe: "Base URL of the platform's object API",
 } as const;
 
-/** Runs `work` with a client of the platform. */
+/** Runs `work` with a platform client, which is closed afterwards. */
 export async function withPlatform<T>(
   url: string,
   work: (platform: HttpPlatform) => Promise<T>,
 ): Promise<T> {
-  const platform = new HttpPlatform({ url, timeoutMs: TIMEOUT_MS });
+  const platform = new HttpPlatform({ url, timeoutMs: PLATFORM_TIMEOUT_MS });
   try {
     return await work(platform);
   } finally {
--- a/src/cli/read_directory.ts
+++ b/src/cli/read_directory.ts
@@ -1,4 +1,4 @@
-/** Reads the directory that a command names, and reports what is wrong with it. */
+/** Reads the configuration directory given to a command and prints its problems. */
 
 import process from "node:process";
 import type { Configuration } from "../core/config/configuration.ts";
@@ -6,7 +6,7 @@
 import { ExitCode } from "./exit_code.ts";
 import { printProblems } from "./output.ts";
 
-/** Returns the configuration; without one the problems and the exit code are set. */
+/** Returns the configuration, or prints the problems, sets the exit code and returns undefined. */
 export function readDirectory(
   directory: string,
   { json }: { json: boolean },
--- a/src/cli/standin_command.ts
+++ b/src/cli/standin_command.ts
@@ -1,4 +1,7 @@
-/** `fieldrack standin`: stand-ins of outside systems, each as its own process. */
+/**
+ * The `fieldrack standin` command, which runs a stand-in of an external system as its own
+ * process.
+ */
 
 import process from "node:process";
 import type { CommandModule } from "yargs";
@@ -21,7 +24,7 @@
 /** Runs one stand-in; for tests and trials only. */
 export const standinCommand: CommandModule<object, Arguments> = {
   command: "standin <kind>",
-  describe: "Run a stand-in of an outside system, for tests and trials",
+  describe: "Run a stand-in of an external system, for tests and trials",
   builder: (args) =>
     args.positional("kind", {
       choices: ["platform", "model", "service", "rating"] as const,
@@ -30,7 +33,7 @@
       .option("listen", {
         type: "string",
         default: "127.0.0.1:0",
-        describe: "Address",
+        describe: "Address to listen on, IP:port; port 0 picks a free one",
       })
       .version(false)
       .option("version", {
@@ -38,27 +41,27 @@
         array: true,
         default: [] as string[],
         describe:
-          "Version of a model server and its quality: model@version=0.9",
+          "Version that a model server serves and its quality, as model@version=0.9",
       })
       .option("slots", {
         type: "number",
         default: 16,
-        describe: "Requests at once",
+        describe: "Number of requests that a model server handles concurrently",
       })
       .option("token-ms", {
         type: "number",
         default: 5,
-        describe: "Time between tokens",
+        describe: "Time between tokens, in milliseconds",
       })
       .option("prefill-ms", {
         type: "number",
         default: 0.05,
-        describe: "Time to read one prompt token",
+        describe: "Time to process one prompt token, in milliseconds",
       })
       .option("report-lag-ms", {
         type: "number",
         default: 500,
-        describe: "Lag of load reports",
+        describe: "Refresh interval of load reports, in milliseconds",
       }),
   handler: async (args) => {
     const url = await createStandin(args).listen(args.listen);
--- a/src/cli/status_command.ts
+++ b/src/cli/status_command.ts
@@ -1,4 +1,4 @@
-/** `fieldrack status`. */
+/** The `fieldrack status` command. */
 
 import process from "node:process";
 import type { CommandModule } from "yargs";
@@ -11,10 +11,10 @@
   readonly json: boolean;
 }
 
-/** Shows entries and the revision in force on each. */
+/** Prints the members that each given entry sees, with the state and revision of each. */
 export const statusCommand: CommandModule<object, Arguments> = {
   command: "status",
-  describe: "Show entries, as those asked see them",
+  describe: "Show all entries, as seen by the given ones",
   builder: (args) =>
     args.option("entry", {
       type: "string",
@@ -27,7 +27,10 @@
         default: false,
         describe: "Print JSON",
       })
-      .example("$0 status --entry 10.0.0.5:8082", "Ask one entry"),
+      .example(
+        "$0 status --entry 10.0.0.5:8082",
+        "Show the fleet as one entry sees it",
+      ),
   handler: async ({ entry, json }) => {
     const answers = await Promise.all(entry.map(fetchStatus));
     const statuses = answers.flatMap((answer) =>
@@ -46,7 +49,7 @@
           member.callers,
         ])
       );
-      const titles = [
+      const header = [
         "SEEN BY",
         "ENTRY",
         "DATA CENTRE",
@@ -54,7 +57,7 @@
         "REVISION",
         "ADDRESS",
       ];
-      if (rows.length > 0) printTable([titles, ...rows]);
+      if (rows.length > 0) printTable([header, ...rows]);
       for (const err of errors) printError(err);
     }
     if (errors.length > 0) process.exitCode = ExitCode.Unreachable;
--- a/src/demo/demo_fleet.ts
+++ b/src/demo/demo_fleet.ts
@@ -1,4 +1,4 @@
-/** One user's fleet on loopback, in one process: stand-ins and three entries. */
+/** A demo fleet on loopback in one process: stand-ins and three entries. */
 
 import { randomUUID } from "node:crypto";
 import { Applier } from "../configuration/applier.ts";
@@ -18,15 +18,15 @@
 import { PlatformStandin } from "../standins/platform_standin.ts";
 
 const ANY_PORT = "127.0.0.1:0";
-const ENTRIES = 3;
-const APPLY_LIMIT_MS = 10_000;
-const POLL_MS = 20;
+const ENTRY_COUNT = 3;
+const APPLY_TIMEOUT_MS = 10_000;
+const POLL_INTERVAL_MS = 20;
 const PLATFORM_TIMEOUT_MS = 2_000;
-/** Cheap models answer fewer prompts rightly. */
-const QUALITY_OF_FIRST_MODEL = 0.7;
-const QUALITY_OF_OTHERS = 0.95;
+/** The first model stands for a cheap one, which answers fewer prompts correctly. */
+const FIRST_MODEL_QUALITY = 0.7;
+const OTHER_MODELS_QUALITY = 0.95;
 
-/** An entry of a running fleet. */
+/** Identity and addresses of an entry in a running fleet. */
 export interface DemoEntry extends EntryAddresses {
   readonly id: string;
   readonly dataCentre: string;
@@ -37,7 +37,7 @@
   close(): Promise<void>;
 }
 
-/** A fleet that can be started and stopped. */
+/** Fleet that serves one configuration from backend server stand-ins. */
 export class DemoFleet {
   readonly #configuration: Configuration;
   readonly #peerSecret = randomUUID();
@@ -48,7 +48,10 @@
     this.#configuration = configuration;
   }
 
-  /** Starts everything; returns the platform's URL and the entries. */
+  /**
+   * Starts all parts and waits until each entry has loaded the configuration; returns the
+   * platform's URL and the entries.
+   */
   async start(): Promise<{ platform: string; entries: DemoEntry[] }> {
     const platform = await this.#startStandin(new PlatformStandin());
     const backends = await Promise.all(
@@ -56,18 +59,20 @@
         this.#startBackend(backend)
       ),
     );
-    await applyTo(platform, { ...this.#configuration, backends });
+    await applyConfiguration(platform, { ...this.#configuration, backends });
     const entries: DemoEntry[] = [];
-    for (let at = 0; at < ENTRIES; at++) {
-      entries.push(await this.#startEntry(at, { platform, others: entries }));
+    for (let index = 0; index < ENTRY_COUNT; index++) {
+      entries.push(
+        await this.#startEntry(index, { platform, others: entries }),
+      );
     }
     while (this.#entries.some((entry) => entry.revision === 0)) {
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
     return { platform, entries };
   }
 
-  /** Finishes the requests in flight and stops everything. */
+  /** Stops the entries once the requests in flight have ended, then closes the stand-ins. */
   async stop(): Promise<void> {
     await Promise.all(this.#entries.map((entry) => entry.stop()));
     await Promise.all(this.#standins.map((standin) => standin.close()));
@@ -94,7 +99,7 @@
         reportIntervalMs: 500,
         qualities: new Map(backend.versions.map(({ model, version }) => [
           `${model}@${version}`,
-          model === first ? QUALITY_OF_FIRST_MODEL : QUALITY_OF_OTHERS,
+          model === first ? FIRST_MODEL_QUALITY : OTHER_MODELS_QUALITY,
         ])),
       }),
     );
@@ -102,14 +107,14 @@
   }
 
   async #startEntry(
-    at: number,
+    index: number,
     { platform, others }: { platform: string; others: readonly DemoEntry[] },
   ): Promise<DemoEntry> {
     const dataCentres = [
       ...new Set(this.#configuration.backends.map((b) => b.data_centre)),
     ];
-    const dataCentre = dataCentres[at % dataCentres.length] as DataCentreId;
-    const id = `entry-${at + 1}` as EntryId;
+    const dataCentre = dataCentres[index % dataCentres.length] as DataCentreId;
+    const id = `entry-${index + 1}` as EntryId;
     const entry = new EntryProcess({
       settings: settingsSchema.parse({
         entry: { id, data_centre: dataCentre },
@@ -125,12 +130,12 @@
   }
 }
 
-async function applyTo(
+async function applyConfiguration(
   url: string,
   configuration: Configuration,
 ): Promise<void> {
   const platform = new HttpPlatform({ url, timeoutMs: PLATFORM_TIMEOUT_MS });
-  const deadline = new Deadline(APPLY_LIMIT_MS);
+  const deadline = new Deadline(APPLY_TIMEOUT_MS);
   const applier = new Applier({ platform, clock: new SystemClock() });
   const outcome = await applier.apply({
     configuration,
@@ -140,6 +145,8 @@
   deadline.close();
   await platform.close();
   if (outcome.tag !== "accepted") {
-    throw new Error(`Stand-in of the platform did not accept: ${outcome.tag}`);
+    throw new Error(
+      `Platform stand-in did not accept the configuration: ${outcome.tag}`,
+    );
   }
 }
--- a/src/files/configuration_directory.ts
+++ b/src/files/configuration_directory.ts
@@ -1,4 +1,4 @@
-/** Reads a directory of YAML files as one configuration, checked as a whole. */
+/** Reads a directory of YAML files into one validated configuration. */
 
 import { readdirSync } from "node:fs";
 import { Buffer } from "node:buffer";
@@ -19,7 +19,7 @@
 import type { FileProblem } from "./file_problem.ts";
 import { YamlFile } from "./yaml_file.ts";
 
-const YAML_ENDING = /\.ya?ml$/;
+const YAML_EXTENSION = /\.ya?ml$/;
 
 const fileSchema = strictObject(
   Object.fromEntries(
@@ -29,14 +29,17 @@
   ),
 ).nullable();
 
-/** Where an entry of the configuration was declared. */
-interface Origin {
+/** File and position at which an entry of the configuration is declared. */
+interface EntrySource {
   readonly yaml: YamlFile;
-  /** Position within the section of that file. */
+  /** Index within the section of that file. */
   readonly index: number;
 }
 
-/** Reads all files below `directory` and checks them as a whole. */
+/**
+ * Merges all YAML files in `directory` (not in subfolders) and validates the result; fails with
+ * all problems found.
+ */
 export function readConfigurationDirectory(
   directory: string,
 ): Result<Configuration, FileProblem[]> {
@@ -61,9 +64,9 @@
     fail([{ file: directory, line: 1, column: 1, key: "", message }]);
   try {
     const names = readdirSync(directory).filter((name) =>
-      YAML_ENDING.test(name)
+      YAML_EXTENSION.test(name)
     );
-    if (names.length === 0) return problem("Directory holds no YAML file");
+    if (names.length === 0) return problem("Directory contains no YAML files");
     return ok(names.sort());
   } catch (err) {
     const reason = (err as NodeJS.ErrnoException).code ?? String(err);
@@ -71,18 +74,20 @@
   }
 }
 
-/** Joins the sections of several files and remembers where each entry stands. */
+/** Merges the sections of several files and records the source of each entry for error messages. */
 class MergedConfiguration {
   readonly #sections = new Map<Section, unknown[]>(
     SECTIONS.map((s) => [s, []]),
   );
-  readonly #origins = new Map<Section, Origin[]>(SECTIONS.map((s) => [s, []]));
+  readonly #sources = new Map<Section, EntrySource[]>(
+    SECTIONS.map((s) => [s, []]),
+  );
 
   add(yaml: YamlFile, content: Partial<Configuration> | null): void {
     for (const section of SECTIONS) {
       content?.[section]?.forEach((entry, index) => {
         this.#sections.get(section)?.push(entry);
-        this.#origins.get(section)?.push({ yaml, index });
+        this.#sources.get(section)?.push({ yaml, index });
       });
     }
   }
@@ -90,10 +95,10 @@
   check(): Result<Configuration, FileProblem[]> {
     const cfg = Object.fromEntries(this.#sections) as unknown as Configuration;
     const problems = checkReferences(cfg).map((problem) => {
-      const origin = this.#origins.get(problem.section)
-        ?.[problem.index] as Origin;
-      const path = [problem.section, origin.index, ...problem.path];
-      return origin.yaml.problemAt(path, problem.message);
+      const source = this.#sources.get(problem.section)
+        ?.[problem.index] as EntrySource;
+      const path = [problem.section, source.index, ...problem.path];
+      return source.yaml.problemAt(path, problem.message);
     });
     if (problems.length === 0) problems.push(...this.#checkSizes(cfg));
     return problems.length > 0 ? fail(problems) : ok(cfg);
@@ -103,12 +108,11 @@
     return splitConfiguration(cfg, sha256)
       .filter(({ text }) => Buffer.byteLength(text) > MAX_VALUE_BYTES)
       .map(({ ref, text }) => {
-        const origin = this.#origins.get(ref.section)?.[0] as Origin;
+        const source = this.#sources.get(ref.section)?.[0] as EntrySource;
         const size = Buffer.byteLength(text);
-        const message =
-          `Entries need ${size} bytes in one object of the platform, ` +
-          `which holds ${MAX_VALUE_BYTES}; make single entries smaller`;
-        return origin.yaml.problemAt([ref.section], message);
+        const message = `Entries take ${size} bytes in one platform object, ` +
+          `which holds ${MAX_VALUE_BYTES} bytes; reduce the size of single entries`;
+        return source.yaml.problemAt([ref.section], message);
       });
   }
 }
--- a/src/files/configuration_directory_test.ts
+++ b/src/files/configuration_directory_test.ts
@@ -22,7 +22,7 @@
     return cfg.ok ? [] : cfg.error.map(formatProblem);
   }
 
-  test("should join the sections of all files", () => {
+  test("should merge the sections of all files", () => {
     const accounts = `accounts: [{ id: a, keys: ["${KEY}"], models: [m] }]`;
     assert.deepEqual(
       problemsOf({ "a.yaml": accounts, "b.yml": MODELS, "empty.yaml": "" }),
@@ -57,13 +57,13 @@
       /keys\[0\]: Expected 64 lower-case hex digits/,
     ],
     [
-      "an id of other characters",
+      "an id with invalid characters",
       "models: [{ id: Big One, stable: v1, versions: [{ id: v1 }] }]",
       /models\[0\]\.id: Expected 1 to 63 of a-z/,
     ],
     ["broken YAML", "accounts: [\n", /^a\.yaml:2:1: /],
     [
-      "a reference to nothing",
+      "a reference to an unknown model",
       `${MODELS}accounts: [{ id: a, keys: ["${KEY}"], models: [n] }]`,
       /^a\.yaml:2:\d+: accounts\[0\]\.models\[0\]: No model or cascade is named "n"/,
     ],
@@ -75,35 +75,35 @@
       /models\[1\]\.id: Id "m" stands twice in models/,
     ],
     [
-      "a key of two accounts",
+      "a key that two accounts share",
       `accounts:\n  - { id: a, keys: ["${KEY}"] }\n  - { id: b, keys: ["${KEY}"] }\n`,
       /^a\.yaml:3:.* Key is already used by account "a"/,
     ],
     [
-      "a cascade that leads to itself",
+      "a cascade that contains itself",
       "cascades:\n  - { id: a, steps: [b] }\n  - { id: b, steps: [a] }\n",
       /^a\.yaml:2:.*Cascade leads back to itself: a -> b -> a/,
     ],
     [
-      "a roll-out to a version that is not there",
+      "a roll-out to an unknown version",
       `${MODELS}roll_outs: [{ id: r, model: m, to: v9, percent: 5 }]`,
       /to: Model "m" has no version "v9"/,
     ],
     [
-      "a server of nothing",
+      "a backend server without versions or service",
       `backends: [{ id: b, data_centre: d, url: "http://127.0.0.1:1" }]`,
       /A backend server needs either versions or a service/,
     ],
   ];
   for (const [what, text, expected] of cases) {
-    test(`should refuse ${what} and say where`, () => {
+    test(`should reject ${what} and report its position`, () => {
       const problems = problemsOf({ "a.yaml": text });
       assert.match(problems.join("\n"), expected);
     });
   }
 
-  test("should refuse bad UTF-8, an entry over the platform's limit, and an empty directory", () => {
-    assert.match(problemsOf({})[0] ?? "", /Directory holds no YAML file/);
+  test("should reject invalid UTF-8, an entry over the platform's size limit, and an empty directory", () => {
+    assert.match(problemsOf({})[0] ?? "", /Directory contains no YAML files/);
     assert.match(
       problemsOf({ "a.yaml": new Uint8Array([0xff, 0xfe]) })[0] ?? "",
       /not valid UTF-8/,
@@ -115,11 +115,11 @@
     const huge = JSON.stringify({ accounts: [{ id: "a", keys }] });
     assert.match(
       problemsOf({ "a.yaml": huge })[0] ?? "",
-      /which holds 1000000/,
+      /which holds 1000000 bytes/,
     );
   });
 
-  test("should report the problems of all files at once", () => {
+  test("should report the problems of all files together", () => {
     const problems = problemsOf({ "a.yaml": "x: 1", "b.yaml": "y: 1" });
     assert.equal(problems.length, 2);
   });
--- a/src/files/file_problem.ts
+++ b/src/files/file_problem.ts
@@ -1,6 +1,6 @@
-/** What is wrong in a file, and where. */
+/** Problems in files and how they are formatted. */
 
-/** One problem; line and column count from 1. */
+/** One problem and its position; line and column numbers start at 1. */
 export interface FileProblem {
   readonly file: string;
   readonly line: number;
@@ -16,7 +16,7 @@
   return `${file}:${line}:${column}: ${key === "" ? "" : `${key}: `}${message}`;
 }
 
-/** Formats a path of keys. */
+/** Formats a path of keys, such as `accounts[2].keys[0]`. */
 export function formatKey(path: readonly PropertyKey[]): string {
   return path.reduce<string>((text, part) => {
     if (typeof part === "number") return `${text}[${part}]`;
--- a/src/files/settings_file.ts
+++ b/src/files/settings_file.ts
@@ -1,4 +1,4 @@
-/** Reads the settings file of an entry. */
+/** Reads the settings file of an entry and the secret file that it refers to. */
 
 import { readFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
@@ -7,15 +7,18 @@
 import type { FileProblem } from "./file_problem.ts";
 import { YamlFile } from "./yaml_file.ts";
 
-const SHORTEST_SECRET = 16;
+const MIN_SECRET_LENGTH = 16;
 
-/** Settings and the secret that they name. */
+/** Settings together with the secret that entries share. */
 export interface LoadedSettings {
   readonly settings: Settings;
   readonly peerSecret: string;
 }
 
-/** Reads and checks `path`, and the secret file that it names. */
+/**
+ * Reads and validates the settings at `path`; a relative secret file is resolved against its
+ * folder.
+ */
 export function readSettings(
   path: string,
 ): Result<LoadedSettings, FileProblem[]> {
@@ -33,18 +36,22 @@
 function readSecret({ peers }: Settings, path: string): Result<string, string> {
   if (peers.secret !== undefined) return ok(peers.secret);
   if (peers.secret_file === undefined) {
-    return fail("Set secret_file (or secret, for tests)");
+    return fail(
+      "No secret is configured; set secret_file (or secret, for tests)",
+    );
   }
   const file = resolve(dirname(path), peers.secret_file);
   try {
     const secret = readFileSync(file, "utf8").trim();
-    if (secret.length >= SHORTEST_SECRET) return ok(secret);
+    if (secret.length >= MIN_SECRET_LENGTH) return ok(secret);
     return fail(
-      `Secret in ${file} has less than ${SHORTEST_SECRET} characters`,
+      `Secret in ${file} has fewer than ${MIN_SECRET_LENGTH} characters`,
     );
   } catch (err) {
     return fail(
-      `File ${file} cannot be read (${(err as NodeJS.ErrnoException).code})`,
+      `Secret file ${file} cannot be read (${
+        (err as NodeJS.ErrnoException).code
+      })`,
     );
   }
 }
--- a/src/files/yaml_file.ts
+++ b/src/files/yaml_file.ts
@@ -1,4 +1,4 @@
-/** One YAML file, parsed so that problems can be traced to lines. */
+/** Parsed YAML file that maps problems back to lines and columns. */
 
 import { readFileSync } from "node:fs";
 import { type Document, isNode, LineCounter, parseDocument } from "yaml";
@@ -6,14 +6,14 @@
 import { fail, ok, type Result } from "../core/result.ts";
 import { type FileProblem, formatKey } from "./file_problem.ts";
 
-/** Aliases that a file may expand to; stops files that grow without bound. */
-const MAX_ALIASES = 100;
+/** Limit on alias expansions; rejects files whose nested aliases would expand without bound. */
+const MAX_ALIAS_EXPANSIONS = 100;
 
 /** A parsed YAML file. */
 export class YamlFile {
   readonly file: string;
   readonly #document: Document;
-  readonly #lines: LineCounter;
+  readonly #lineCounter: LineCounter;
 
   private constructor(
     file: string,
@@ -21,27 +21,32 @@
   ) {
     this.file = file;
     this.#document = document;
-    this.#lines = lines;
+    this.#lineCounter = lines;
   }
 
-  /** Reads and parses a file. */
-  static read(path: string, shownAs = path): Result<YamlFile, FileProblem[]> {
+  /** Reads and parses a file; problems report it as `displayName`. */
+  static read(
+    path: string,
+    displayName = path,
+  ): Result<YamlFile, FileProblem[]> {
     let bytes: Uint8Array;
     try {
       bytes = readFileSync(path);
     } catch (err) {
       const reason = (err as NodeJS.ErrnoException).code ?? String(err);
-      return fail([atStart(shownAs, `File cannot be read (${reason})`)]);
+      return fail([
+        problemAtStart(displayName, `File cannot be read (${reason})`),
+      ]);
     }
     try {
       const text = new TextDecoder("utf-8", { fatal: true }).decode(bytes);
-      return YamlFile.parse(text, shownAs);
+      return YamlFile.parse(text, displayName);
     } catch {
-      return fail([atStart(shownAs, "File is not valid UTF-8")]);
+      return fail([problemAtStart(displayName, "File is not valid UTF-8")]);
     }
   }
 
-  /** Parses a text. */
+  /** Parses a text; problems report it as `file`. */
   static parse(text: string, file: string): Result<YamlFile, FileProblem[]> {
     const lines = new LineCounter();
     const document = parseDocument(text, {
@@ -57,18 +62,18 @@
     return ok(new YamlFile(file, { document, lines }));
   }
 
-  /** Content as plain values. */
+  /** Content as plain JavaScript values; throws if there are too many alias expansions. */
   get content(): unknown {
-    return this.#document.toJS({ maxAliasCount: MAX_ALIASES });
+    return this.#document.toJS({ maxAliasCount: MAX_ALIAS_EXPANSIONS });
   }
 
-  /** Checks the content. */
+  /** Validates the content against a schema. */
   check<T>(schema: z.ZodType<T>): Result<T, FileProblem[]> {
     let content: unknown;
     try {
       content = this.content;
     } catch (err) {
-      return fail([atStart(this.file, (err as Error).message)]);
+      return fail([problemAtStart(this.file, (err as Error).message)]);
     }
     const parsed = schema.safeParse(content);
     if (parsed.success) return ok(parsed.data);
@@ -80,9 +85,9 @@
     }));
   }
 
-  /** Describes a problem at a path of keys, or at its nearest parent. */
+  /** Returns a problem at the position of a path of keys, or of its nearest existing parent. */
   problemAt(path: readonly PropertyKey[], message: string): FileProblem {
-    const { line, col } = this.#lines.linePos(this.#offsetOf(path));
+    const { line, col } = this.#lineCounter.linePos(this.#offsetOf(path));
     return {
       file: this.file,
       line,
@@ -113,6 +118,6 @@
   );
 }
 
-function atStart(file: string, message: string): FileProblem {
+function problemAtStart(file: string, message: string): FileProblem {
   return { file, line: 1, column: 1, key: "", message };
 }
--- a/src/standins/batch_engine.ts
+++ b/src/standins/batch_engine.ts
@@ -127,7 +127,10 @@
     this.#fillSlots();
   }
 
-  /** A prompt whose first 256 characters are in the prefix cache is processed four times as fast. */
+  /**
+   * A prompt whose first 256 characters are in the prefix cache is processed four times as
+   * fast.
+   */
   #prefillMs({ prompt, promptTokens }: GenerationInput): number {
     const PREFIX_CHARACTERS = 256;
     const CACHE_SPEED_UP = 4;
--- a/src/standins/generation.ts
+++ b/src/standins/generation.ts
@@ -38,7 +38,8 @@
 
   constructor(input: GenerationInput) {
     this.input = input;
-    // The same hash for all versions: a better version answers correctly every prompt that a worse one does.
+    // The same hash for all versions: a better version answers correctly every prompt that a
+    // worse one does.
     this.correct = unitHash(input.prompt) < input.quality;
   }
 
@@ -81,7 +82,10 @@
     for (const listener of this.#listeners) listener();
   }
 
-  /** Returns the text of one token; the first one marks the answer as right or wrong for the rating stand-in. */
+  /**
+   * Returns the text of one token; the first one marks the answer as right or wrong for the
+   * rating stand-in.
+   */
   tokenText(index: number): string {
     if (index === 0) return this.correct ? "right:" : "wrong:";
     return ` ${WORDS[(index + this.input.prompt.length) % WORDS.length]}`;
--- a/src/standins/plain_service_standin.ts
+++ b/src/standins/plain_service_standin.ts
@@ -17,7 +17,10 @@
   cut_after_effect: z.boolean().optional(),
 });
 
-/** HTTP server that accepts any request and counts executions by idempotency key, or else request id. */
+/**
+ * HTTP server that accepts any request and counts executions by idempotency key, or else
+ * request id.
+ */
 export class PlainServiceStandin {
   readonly #http: FastifyInstance;
   readonly #runsByKey = new Map<string, number>();
--- a/src/standins/platform_objects.ts
+++ b/src/standins/platform_objects.ts
@@ -20,7 +20,10 @@
       .sort();
   }
 
-  /** Writes if the current version is the expected one; otherwise fails with the current version. */
+  /**
+   * Writes if the current version is the expected one; otherwise fails with the current
+   * version.
+   */
   put(
     key: string,
     { value, expectedVersion }: { value: string; expectedVersion: number },
@@ -33,7 +36,10 @@
     return ok(object.version);
   }
 
-  /** Calls `onChange` for each version above `afterVersion`; returns a function that stops the watch. */
+  /**
+   * Calls `onChange` for each version above `afterVersion`; returns a function that stops the
+   * watch.
+   */
   watch(
     key: string,
     { afterVersion, onChange }: {
--- a/src/standins/platform_standin.ts
+++ b/src/standins/platform_standin.ts
@@ -31,7 +31,10 @@
   delay_ms: z.number().min(0).optional(),
   /** Number of writes that take effect but whose connections are closed without an answer. */
   lose_write_answers: z.int().min(0).optional(),
-  /** Writes of the head object take effect but get no answer; reads after such a write get none either. */
+  /**
+   * Writes of the head object take effect but get no answer; reads after such a write get none
+   * either.
+   */
   lose_head_answers: z.boolean().optional(),
   /** Watches report no changes and time out empty. */
   watches_stuck: z.boolean().optional(),
@@ -62,7 +65,10 @@
     rateLimited: 0,
   };
   #faults: Faults = {};
-  /** Whether the head was written since the faults were last set, while `lose_head_answers` was on. */
+  /**
+   * Whether the head was written since the faults were last set, while `lose_head_answers` was
+   * on.
+   */
   #headWritten = false;
   #vms: VmList = { vms: [] };
   #vmsVersion = 1;
@@ -193,7 +199,10 @@
     return reply.header("etag", etag).send(this.#vms);
   }
 
-  /** Applies the delay, outage and rate limit; returns whether the call was answered with an error. */
+  /**
+   * Applies the delay, outage and rate limit; returns whether the call was answered with an
+   * error.
+   */
   async #answerWithFault(
     reply: FastifyReply,
     limit: TokenBucket,
