--- a/soak/accepted_check.ts
+++ b/soak/accepted_check.ts
@@ -1,50 +1,57 @@
-/** Checks that what a gateway has accepted outlives changes of the configuration. */
+/** Checks that requests a gateway has accepted survive configuration changes. */
 
-import type { CallerRecord, History, Runs } from "./history.ts";
+import type { History, RequestRecord, Runs } from "./history.ts";
 import { BOUNDS, ROUTE } from "./soak_settings.ts";
 import {
-  isNextToPlannedStop,
+  endedDuringPlannedStop,
+  requestViolation,
   type Violation,
-  violation,
-  wasTroubled,
+  wasAffectedByFault,
 } from "./violation.ts";
 
-/** Statuses by which a gateway says that it does not accept a request. */
-const NOT_ACCEPTED: ReadonlySet<number> = new Set([401, 403, 404, 503]);
-/** Troubles by which a gateway may lose what it has accepted, or all of its servers. */
-const LOSSES: ReadonlySet<string> = new Set([
+/** Statuses by which a gateway refuses to accept a request. */
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([401, 403, 404, 503]);
+/** Faults that may make a gateway lose accepted requests, or all of its backend servers. */
+const EXCUSING_FAULTS: ReadonlySet<string> = new Set([
   "kill",
   "freeze",
   "servers_lapse",
 ]);
-/** A server that ran a gateway's request this long ago could take another of it. */
-const RAN_LATELY_MS = 1_000;
+/** A server that ran a request of the gateway within this time is assumed able to run another. */
+const RECENT_RUN_MS = 1_000;
 /**
- * Servers that must be able to take a request: a gateway asks three at most that refuse,
- * and may not have come to a single able one by then.
+ * Backend servers that must have been available. A gateway sends a request to at most three
+ * servers that refuse it, so with a single available one it may not reach that one.
  */
-const ABLE_SERVERS = 2;
-/** A gateway may end a request this long before its time is up, when it is of no use. */
-const SHORT_TIME_MS = 100;
+const MIN_AVAILABLE_SERVERS = 2;
+/**
+ * A gateway may end a request this long before its deadline, when the remaining time is too short
+ * for another attempt.
+ */
+const MIN_REMAINING_MS = 100;
 
-/** What a gateway has accepted and sent must not end by what it would accept later. */
+/**
+ * An accepted and forwarded request must not fail because the gateway would no longer accept it.
+ */
 export function checkAccepted(history: History, runs: Runs): Violation[] {
-  return history.callers
-    .filter((record) => wasGivenUp(record))
-    .filter((record) => hadRunsLeft(record, runs))
-    .filter((record) => wasBesideChange(history, record))
-    .filter((record) => !isNextToPlannedStop(history, record))
+  return history.requests
+    .filter((record) => wasAbandoned(record))
+    .filter((record) => hadAttemptsLeft(record, runs))
+    .filter((record) => overlapsConfigurationChange(history, record))
+    .filter((record) => !endedDuringPlannedStop(history, record))
     .filter(({ gateway, sentMs, endMs }) =>
-      !wasTroubled(history, {
+      !wasAffectedByFault(history, {
         gateway,
         fromMs: sentMs,
         untilMs: endMs,
-        names: LOSSES,
+        faultTags: EXCUSING_FAULTS,
       })
     )
-    .filter((record) => ableServers(history, runs, record) >= ABLE_SERVERS)
+    .filter((record) =>
+      countAvailableServers(history, runs, record) >= MIN_AVAILABLE_SERVERS
+    )
     .map((record) =>
-      violation(
+      requestViolation(
         "accepted requests outlive changes of the configuration",
         record,
         `ended after ${Math.round(record.endMs - record.sentMs)} ms with ${
@@ -54,56 +61,63 @@
     );
 }
 
-function wasGivenUp({ kind, ending }: CallerRecord): boolean {
+function wasAbandoned({ kind, ending }: RequestRecord): boolean {
   if (kind === "stream") return ending.tag === "cut" && ending.begun;
   return kind === "repeatable" && ending.tag === "answered" &&
-    NOT_ACCEPTED.has(ending.status);
+    REFUSAL_STATUSES.has(ending.status);
 }
 
-/** Whether a request that had run could have been run once more. */
-function hadRunsLeft(
-  { attempt, sentMs, endMs }: CallerRecord,
+/** Whether a request that had run on a server could have been attempted again. */
+function hadAttemptsLeft(
+  { attempt, sentMs, endMs }: RequestRecord,
   runs: Runs,
 ): boolean {
   const ran = runs.get(attempt)?.length ?? 0;
   return ran > 0 && ran < ROUTE.maxRuns &&
-    endMs - sentMs < ROUTE.timeLimitMs - SHORT_TIME_MS;
+    endMs - sentMs < ROUTE.timeLimitMs - MIN_REMAINING_MS;
 }
 
-/** Whether a change came into force, or a confirmation ran out, while a request ran. */
-function wasBesideChange(
-  { configurations, troubles }: History,
-  { sentMs, endMs }: CallerRecord,
+/**
+ * Whether a configuration took effect, or the confirmation of one expired, while a request was in
+ * progress.
+ */
+function overlapsConfigurationChange(
+  { configurations, faultWindows }: History,
+  { sentMs, endMs }: RequestRecord,
 ): boolean {
-  const changed = configurations.some(({ takenMs }) =>
-    takenMs >= sentMs - BOUNDS.configurationApplyMs && takenMs <= endMs
+  const changed = configurations.some(({ storedMs }) =>
+    storedMs >= sentMs - BOUNDS.configurationApplyMs && storedMs <= endMs
   );
   return changed ||
-    troubles.some(({ name, fromMs, untilMs }) =>
-      !LOSSES.has(name) && fromMs <= endMs &&
+    faultWindows.some(({ name, fromMs, untilMs }) =>
+      !EXCUSING_FAULTS.has(name) && fromMs <= endMs &&
       untilMs >= sentMs - BOUNDS.keyRemovalMs
     );
 }
 
-/** Servers in order that ran other requests of the same gateway shortly before. */
-function ableServers(
+/**
+ * Counts untried, fault-free backend servers that recently ran other requests of the same gateway.
+ */
+function countAvailableServers(
   history: History,
   runs: Runs,
-  { attempt, gateway, endMs }: CallerRecord,
+  { attempt, gateway, endMs }: RequestRecord,
 ): number {
   const tried = new Set(runs.get(attempt)?.map(({ server }) => server));
-  const fromMs = endMs - RAN_LATELY_MS;
-  const able = history.callers
+  const fromMs = endMs - RECENT_RUN_MS;
+  const available = history.requests
     .filter((other) => other.gateway === gateway)
     .flatMap((other) => runs.get(other.attempt) ?? [])
-    .filter(({ atMs, broken }) => !broken && atMs >= fromMs && atMs <= endMs)
+    .filter(({ atMs, incomplete }) =>
+      !incomplete && atMs >= fromMs && atMs <= endMs
+    )
     .map(({ server }) => server)
     .filter((server) => !tried.has(server))
     .filter((server) =>
-      !history.serverTroubles.some((trouble) =>
-        trouble.server === server && trouble.fromMs <= endMs &&
-        trouble.untilMs >= fromMs
+      !history.serverFaultWindows.some((window) =>
+        window.server === server && window.fromMs <= endMs &&
+        window.untilMs >= fromMs
       )
     );
-  return new Set(able).size;
+  return new Set(available).size;
 }
--- a/soak/accepted_check_test.ts
+++ b/soak/accepted_check_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { wholeBody } from "./answer_bodies.ts";
-import type { CallerRecord, Ending } from "./history.ts";
+import { responseBody } from "./response_bodies.ts";
+import type { Ending, RequestRecord } from "./history.ts";
 import { BOUNDS, ROUTE } from "./soak_settings.ts";
 import {
   GATEWAY,
@@ -14,36 +14,36 @@
   soak = new SoakHistory();
 });
 
-describe("check of accepted requests beside a change of the configuration", () => {
+describe("check of accepted requests during a configuration change", () => {
   const PROMISE = "accepted requests outlive changes of the configuration";
   const END_MS = SENT_MS + 300;
   const CUT: Ending = { tag: "cut", begun: true };
 
-  function cutBesideChange(patch: Partial<CallerRecord> = {}): void {
+  function cutDuringChange(patch: Partial<RequestRecord> = {}): void {
     soak.called({ kind: "stream", endMs: END_MS, ending: CUT, ...patch });
-    soak.ran({ broken: true });
+    soak.ran({ incomplete: true });
     soak.history.configurations.push(
-      { version: 1, takenMs: 0, keys: ["key"] },
-      { version: 2, takenMs: SENT_MS + 100, keys: [] },
+      { version: 1, storedMs: 0, keys: ["key"] },
+      { version: 2, storedMs: SENT_MS + 100, keys: [] },
     );
   }
 
-  /** Lets a server run another request of the gateway. */
-  function isAble(server: string, atMs = SENT_MS + 10): void {
+  /** Records that a server ran another request of the gateway. */
+  function recordOtherRun(server: string, atMs = SENT_MS + 10): void {
     const attempt = `other-${server}`;
-    const body = wholeBody(attempt);
+    const body = responseBody(attempt);
     soak.called({ attempt, ending: { tag: "answered", status: 200, body } });
     soak.ran({ attempt, server, atMs });
   }
 
-  function othersAreAble(atMs?: number): void {
-    isAble("s-2", atMs);
-    isAble("s-3", atMs);
+  function recordOtherRuns(atMs?: number): void {
+    recordOtherRun("s-2", atMs);
+    recordOtherRun("s-3", atMs);
   }
 
   it("should find a stream that is cut after its key was removed", () => {
-    cutBesideChange();
-    othersAreAble();
+    cutDuringChange();
+    recordOtherRuns();
     assert.deepEqual(soak.broken(), [PROMISE]);
   });
 
@@ -51,30 +51,30 @@
     for (const status of [401, 403, 404, 503]) {
       soak = new SoakHistory();
       const ending: Ending = { tag: "answered", status, body: "" };
-      cutBesideChange({ kind: "repeatable", ending });
-      othersAreAble();
+      cutDuringChange({ kind: "repeatable", ending });
+      recordOtherRuns();
       assert.deepEqual(soak.broken(), [PROMISE], `status ${status}`);
     }
   });
 
-  it("should find a stream that is cut while the store is away", () => {
+  it("should find a stream that is cut while the store is down", () => {
     soak.called({ kind: "stream", endMs: END_MS, ending: CUT });
-    soak.ran({ broken: true });
-    othersAreAble();
+    soak.ran({ incomplete: true });
+    recordOtherRuns();
     assert.deepEqual(soak.broken(), []);
     const fromMs = SENT_MS - BOUNDS.keyRemovalMs + 1;
-    soak.history.troubles.push({
+    soak.history.faultWindows.push({
       name: "store_down",
-      victim: "all",
+      target: "all",
       fromMs,
       untilMs: Infinity,
     });
     assert.deepEqual(soak.broken(), [PROMISE]);
   });
 
-  it("should not mind refusals of what has not run, or may not be repeated", () => {
+  it("should ignore refusals of requests that have not run or may not be retried", () => {
     const ending: Ending = { tag: "answered", status: 401, body: "" };
-    cutBesideChange({ kind: "once", ending });
+    cutDuringChange({ kind: "once", ending });
     soak.called({ attempt: "a-2", kind: "repeatable", endMs: END_MS, ending });
     soak.called({
       attempt: "a-3",
@@ -82,57 +82,62 @@
       endMs: END_MS,
       ending: { tag: "cut", begun: false },
     });
-    soak.ran({ attempt: "a-3", broken: true });
-    othersAreAble();
+    soak.ran({ attempt: "a-3", incomplete: true });
+    recordOtherRuns();
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should not mind a cut when all runs of the route are used up", () => {
-    cutBesideChange();
-    othersAreAble();
+  it("should ignore a cut when all attempts of the route are used up", () => {
+    cutDuringChange();
+    recordOtherRuns();
     for (let run = 1; run < ROUTE.maxRuns; run++) {
-      soak.ran({ server: `s-${run + 3}`, broken: true });
+      soak.ran({ server: `s-${run + 3}`, incomplete: true });
     }
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should not mind a cut when the time of the request is up", () => {
+  it("should ignore a cut when the request has reached its deadline", () => {
     const endMs = SENT_MS + ROUTE.timeLimitMs;
-    cutBesideChange({ endMs });
-    othersAreAble(endMs - 10);
+    cutDuringChange({ endMs });
+    recordOtherRuns(endMs - 10);
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should not mind a cut when other servers were out of order", () => {
-    cutBesideChange();
-    othersAreAble();
-    const trouble = { server: "s-2", fromMs: 0, untilMs: SENT_MS };
-    soak.history.serverTroubles.push(trouble);
+  it("should ignore a cut when other servers were faulty", () => {
+    cutDuringChange();
+    recordOtherRuns();
+    const window = { server: "s-2", fromMs: 0, untilMs: SENT_MS };
+    soak.history.serverFaultWindows.push(window);
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should not mind a cut when hardly a server was seen at work lately", () => {
-    cutBesideChange();
-    isAble("s-2");
-    isAble("s-3", SENT_MS - 2_000);
+  it("should ignore a cut when too few servers ran requests recently", () => {
+    cutDuringChange();
+    recordOtherRun("s-2");
+    recordOtherRun("s-3", SENT_MS - 2_000);
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should not mind a cut by a kill, a freeze or a lapse of servers", () => {
+  it("should ignore a cut during a kill, a freeze or an expiry of server entries", () => {
     for (const name of ["kill", "freeze", "servers_lapse"]) {
       soak = new SoakHistory();
-      cutBesideChange();
-      othersAreAble();
-      const victim = name === "servers_lapse" ? "all" : GATEWAY;
+      cutDuringChange();
+      recordOtherRuns();
+      const target = name === "servers_lapse" ? "all" : GATEWAY;
       const untilMs = SENT_MS + 200;
-      soak.history.troubles.push({ name, victim, fromMs: SENT_MS, untilMs });
+      soak.history.faultWindows.push({
+        name,
+        target,
+        fromMs: SENT_MS,
+        untilMs,
+      });
       assert.deepEqual(soak.broken(), [], name);
     }
   });
 
-  it("should leave a cut next to a planned stop to the check of those", () => {
-    cutBesideChange();
-    othersAreAble();
+  it("should leave a cut during a planned stop to the check of planned stops", () => {
+    cutDuringChange();
+    recordOtherRuns();
     soak.history.plannedStops.push({ gateway: GATEWAY, atMs: SENT_MS });
     assert.deepEqual(soak.broken(), []);
   });
--- a/soak/fault_injector.ts
+++ b/soak/fault_injector.ts
@@ -1,4 +1,4 @@
-/** Injects the planned faults, and notes whom they trouble. */
+/** Injects the planned faults and records which gateways and servers they affect. */
 
 import { performance } from "node:perf_hooks";
 import process from "node:process";
@@ -6,32 +6,37 @@
 import type { StoreFaults } from "../src/standins/object_store_standin.ts";
 import { EVERYONE } from "../tests/fixtures/cuttable_proxy.ts";
 import type { Fault, PlannedFault } from "./fault_plan.ts";
-import type { History, ServerTrouble, Trouble, Victim } from "./history.ts";
+import type {
+  FaultTarget,
+  FaultWindow,
+  History,
+  ServerFaultWindow,
+} from "./history.ts";
 import type { RejectingService } from "./rejecting_service.ts";
 import type { SoakGateway } from "./soak_gateway.ts";
 import { SoakServer } from "./soak_server.ts";
 import { BOUNDS, MS_PER_SECOND, WARMUP } from "./soak_settings.ts";
 import type { SoakStore } from "./soak_store.ts";
 
-/** Time in which a process that was started serves again. */
-const START_MS = 2_500;
-/** Time after which servers have written themselves down again. */
-const RELIST_MS = 1_500;
-const SLOW_MS = 250;
-/** A store that is away does not answer watches that wait either. */
-const AWAY: StoreFaults = { down: true, watchesStuck: true };
+/** Time within which a started gateway process serves again. */
+const GATEWAY_START_MS = 2_500;
+/** Time after which backend servers have registered again. */
+const REREGISTER_MS = 1_500;
+const STORE_DELAY_MS = 250;
+/** While the store is down, pending watches get no response either. */
+const STORE_DOWN: StoreFaults = { down: true, watchesStuck: true };
 
-/** The parts of a run that faults touch. */
+/** The parts of a run that faults act on. */
 export interface Fleet {
   readonly history: History;
   readonly store: SoakStore;
   readonly gateways: readonly SoakGateway[];
-  /** Changes as servers crash and new ones come. */
+  /** Changes as servers crash and are replaced. */
   readonly servers: SoakServer[];
   readonly rejecting: RejectingService;
 }
 
-/** Carries out one plan. */
+/** Carries out fault plans. */
 export class FaultInjector {
   readonly #fleet: Fleet;
   #serverNumber = 0;
@@ -40,238 +45,242 @@
     this.#fleet = fleet;
   }
 
-  /** Starts a server and writes it down; it takes the place of one that ended. */
-  async startServer(at: number): Promise<void> {
+  /** Starts and registers a backend server, which replaces the previous one at the index. */
+  async startServer(index: number): Promise<void> {
     const { history, store, servers } = this.#fleet;
     this.#serverNumber += 1;
-    // Runs beside each other may get each other's ports, but never each other's names.
+    // Concurrent runs may reuse each other's ports, but never each other's server names.
     const name = `s-${process.pid}-${this.#serverNumber}`;
     const server = new SoakServer(name, history);
-    server.onPoisoned = () => {
-      // It may have crashed otherwise meanwhile, and been replaced.
-      if (servers[at] === server) void this.#crash(at);
+    server.onPoisonCrash = () => {
+      // The server may have crashed for another reason meanwhile, and been replaced.
+      if (servers[index] === server) void this.#crashServer(index);
     };
-    servers[at] = server;
-    store.list(server, await server.listen());
+    servers[index] = server;
+    store.register(server, await server.listen());
   }
 
-  /** Injects all faults; resolves when the last has ended. */
+  /** Injects all faults; resolves when the last one has ended. */
   async run(plan: readonly PlannedFault[]): Promise<void> {
     const startMs = performance.now();
-    const ends: Promise<void>[] = [];
-    for (const { atMs, forMs, fault } of plan) {
+    const pending: Promise<void>[] = [];
+    for (const { atMs, durationMs, fault } of plan) {
       await pause(Math.max(0, startMs + atMs - performance.now()));
-      ends.push(this.#inject(fault, forMs));
+      pending.push(this.#inject(fault, durationMs));
     }
-    await Promise.all(ends);
+    await Promise.all(pending);
   }
 
-  async #inject(fault: Fault, forMs: number): Promise<void> {
+  async #inject(fault: Fault, durationMs: number): Promise<void> {
     const { store } = this.#fleet;
     switch (fault.tag) {
       case "kill":
-        return await this.#kill(fault.gateways);
+        return await this.#killGateways(fault.gateways);
       case "planned_stop":
-        return await this.#stop(fault.gateway);
+        return await this.#stopGateway(fault.gateway);
       case "freeze":
-        return await this.#freeze(fault.gateway, forMs);
+        return await this.#freezeGateway(fault.gateway, durationMs);
       case "reload":
         return this.#gateway(fault.gateway).signal("SIGHUP");
       case "store_cut":
-        return await this.#cut(fault.gateway, forMs);
+        return await this.#cutStore(fault.gateway, durationMs);
       case "store_reset":
-        return await this.#reset(fault.gateway);
+        return await this.#resetStore(fault.gateway);
       case "store_down":
-        return await this.#storeFault(fault.tag, forMs, AWAY);
+        return await this.#injectStoreFault(fault.tag, durationMs, STORE_DOWN);
       case "store_slow":
-        return await this.#storeFault(fault.tag, forMs, { delayMs: SLOW_MS });
+        return await this.#injectStoreFault(fault.tag, durationMs, {
+          delayMs: STORE_DELAY_MS,
+        });
       case "store_loses_answers":
-        return await this.#storeFault(fault.tag, forMs, {
+        return await this.#injectStoreFault(fault.tag, durationMs, {
           loseWriteAnswers: true,
         });
       case "watches_stuck":
-        return await this.#storeFault(fault.tag, forMs, { watchesStuck: true });
+        return await this.#injectStoreFault(fault.tag, durationMs, {
+          watchesStuck: true,
+        });
       case "history_forgotten":
-        return store.forgetHistory();
+        return store.discardHistory();
       case "servers_lapse":
-        return await this.#lapse(forMs);
+        return await this.#expireServers(durationMs);
       case "server":
-        return await this.#serverMode(fault, forMs);
+        return await this.#setServerMode(fault, durationMs);
       case "server_crash":
-        return await this.#crash(fault.server);
+        return await this.#crashServer(fault.server);
       case "server_leaves":
-        return await this.#leave(fault.server);
+        return await this.#drainServer(fault.server);
       case "server_says_it_leaves":
-        return await this.#sayItLeaves(fault.server, forMs);
+        return await this.#advertiseDraining(fault.server, durationMs);
       case "configuration":
         return store.configure();
       case "key_removed":
         return store.removeKey();
       case "evacuation":
-        return await this.#evacuate(forMs, fault);
+        return await this.#evacuateServers(durationMs, fault);
     }
   }
 
-  async #kill(gateways: readonly number[]): Promise<void> {
-    await Promise.all(gateways.map(async (at) => {
-      const gateway = this.#gateway(at);
-      await this.#during("kill", gateway.name, async () => {
+  async #killGateways(gateways: readonly number[]): Promise<void> {
+    await Promise.all(gateways.map(async (index) => {
+      const gateway = this.#gateway(index);
+      await this.#recordFault("kill", gateway.name, async () => {
         gateway.signal("SIGKILL");
-        await pause(START_MS);
+        await pause(GATEWAY_START_MS);
       });
     }));
   }
 
-  async #stop(at: number): Promise<void> {
-    const gateway = this.#gateway(at);
+  async #stopGateway(index: number): Promise<void> {
+    const gateway = this.#gateway(index);
     this.#fleet.history.plannedStops.push({
       gateway: gateway.name,
       atMs: performance.now(),
     });
     gateway.signal("SIGTERM");
-    await gateway.ended(BOUNDS.stopGraceMs);
+    await gateway.waitForExit(BOUNDS.stopGraceMs);
   }
 
-  async #freeze(at: number, forMs: number): Promise<void> {
-    const gateway = this.#gateway(at);
-    await this.#during("freeze", gateway.name, async () => {
+  async #freezeGateway(index: number, durationMs: number): Promise<void> {
+    const gateway = this.#gateway(index);
+    await this.#recordFault("freeze", gateway.name, async () => {
       gateway.signal("SIGSTOP");
-      await pause(forMs);
+      await pause(durationMs);
       gateway.signal("SIGCONT");
     });
   }
 
-  async #cut(at: number, forMs: number): Promise<void> {
-    const { name, proxy } = this.#gateway(at);
-    await this.#during("store_cut", name, async () => {
+  async #cutStore(index: number, durationMs: number): Promise<void> {
+    const { name, proxy } = this.#gateway(index);
+    await this.#recordFault("store_cut", name, async () => {
       proxy.cut(EVERYONE);
-      await pause(forMs);
+      await pause(durationMs);
       proxy.heal();
     });
   }
 
-  async #reset(at: number): Promise<void> {
-    const { name, proxy } = this.#gateway(at);
-    await this.#during("store_reset", name, () => {
+  async #resetStore(index: number): Promise<void> {
+    const { name, proxy } = this.#gateway(index);
+    await this.#recordFault("store_reset", name, () => {
       proxy.reset();
       return Promise.resolve();
     });
   }
 
-  async #storeFault(
+  async #injectStoreFault(
     name: string,
-    forMs: number,
+    durationMs: number,
     faults: StoreFaults,
   ): Promise<void> {
     const { store } = this.#fleet;
-    const own = `${name}-${performance.now()}`;
-    await this.#during(name, "all", async () => {
-      store.begin(own, faults);
-      await pause(forMs);
-      store.end(own);
+    const faultId = `${name}-${performance.now()}`;
+    await this.#recordFault(name, "all", async () => {
+      store.beginFault(faultId, faults);
+      await pause(durationMs);
+      store.endFault(faultId);
     });
   }
 
-  async #lapse(forMs: number): Promise<void> {
+  async #expireServers(durationMs: number): Promise<void> {
     const { store } = this.#fleet;
-    const own = `lapse-${performance.now()}`;
-    await this.#during("servers_lapse", "all", async () => {
-      store.begin(own, AWAY);
-      await pause(forMs);
-      store.lapse();
-      store.end(own);
-      await pause(RELIST_MS);
-      store.relist();
+    const faultId = `lapse-${performance.now()}`;
+    await this.#recordFault("servers_lapse", "all", async () => {
+      store.beginFault(faultId, STORE_DOWN);
+      await pause(durationMs);
+      store.expireServers();
+      store.endFault(faultId);
+      await pause(REREGISTER_MS);
+      store.reregisterServers();
     });
   }
 
-  async #serverMode(
+  async #setServerMode(
     { server, mode }: Extract<Fault, { tag: "server" }>,
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
-    const found = this.#server(server);
-    const trouble = this.#noteTrouble(found);
-    found.mode = mode;
-    await pause(forMs);
-    found.mode = "sound";
-    trouble.untilMs = performance.now();
+    const target = this.#server(server);
+    const window = this.#recordServerFault(target);
+    target.mode = mode;
+    await pause(durationMs);
+    target.mode = "sound";
+    window.untilMs = performance.now();
   }
 
-  async #crash(at: number): Promise<void> {
+  async #crashServer(index: number): Promise<void> {
     const { store } = this.#fleet;
-    const server = this.#server(at);
-    this.#noteTrouble(server);
+    const server = this.#server(index);
+    this.#recordServerFault(server);
     server.close();
-    await pause(RELIST_MS);
-    store.unlist(server);
-    if (this.#server(at) === server) await this.startServer(at);
+    await pause(REREGISTER_MS);
+    store.deregister(server);
+    if (this.#server(index) === server) await this.startServer(index);
   }
 
-  async #evacuate(
-    forMs: number,
+  async #evacuateServers(
+    durationMs: number,
     { unwatched = false }: { unwatched?: boolean },
   ): Promise<void> {
     const { store } = this.#fleet;
-    // Excuses nothing: the store answers all other calls.
+    // Not recorded as a fault that excuses gateways: the store still answers all other calls.
     const faults = { watchesStuck: unwatched };
-    store.begin("evacuation", faults);
+    store.beginFault("evacuation", faults);
     store.evacuate();
-    await pause(forMs);
-    store.end("evacuation");
-    store.takeBack();
+    await pause(durationMs);
+    store.endFault("evacuation");
+    store.liftEvacuation();
     await pause(MS_PER_SECOND * WARMUP.durationS);
   }
 
-  async #leave(at: number): Promise<void> {
+  async #drainServer(index: number): Promise<void> {
     const { store } = this.#fleet;
-    const server = this.#server(at);
-    this.#noteTrouble(server);
-    store.leave(server);
-    await this.startServer(at);
+    const server = this.#server(index);
+    this.#recordServerFault(server);
+    store.drain(server);
+    await this.startServer(index);
     await pause(2 * BOUNDS.drainMs);
-    store.unlist(server);
-    // It goes on for a while, so that late work is seen.
+    store.deregister(server);
+    // Keeps the server running for a while, so that requests that arrive late are recorded.
     await pause(BOUNDS.drainMs);
     server.close();
   }
 
-  /** Only its answers say so; another one takes its place as it ends. */
-  async #sayItLeaves(at: number, forMs: number): Promise<void> {
-    const server = this.#server(at);
-    this.#noteTrouble(server);
+  /** Only the server's responses say that it is draining; it is replaced when it ends. */
+  async #advertiseDraining(index: number, durationMs: number): Promise<void> {
+    const server = this.#server(index);
+    this.#recordServerFault(server);
     server.mode = "leaves";
-    await pause(forMs);
-    await this.#crash(at);
+    await pause(durationMs);
+    await this.#crashServer(index);
   }
 
-  #noteTrouble({ name }: SoakServer): ServerTrouble {
+  #recordServerFault({ name }: SoakServer): ServerFaultWindow {
     const fromMs = performance.now();
-    const trouble = { server: name, fromMs, untilMs: Infinity };
-    this.#fleet.history.serverTroubles.push(trouble);
-    return trouble;
+    const window = { server: name, fromMs, untilMs: Infinity };
+    this.#fleet.history.serverFaultWindows.push(window);
+    return window;
   }
 
-  async #during(
+  async #recordFault(
     name: string,
-    victim: Victim,
-    work: () => Promise<void>,
+    target: FaultTarget,
+    action: () => Promise<void>,
   ): Promise<void> {
     const fromMs = performance.now();
-    const trouble: Trouble = { name, victim, fromMs, untilMs: Infinity };
-    this.#fleet.history.troubles.push(trouble);
-    await work();
-    trouble.untilMs = performance.now();
+    const window: FaultWindow = { name, target, fromMs, untilMs: Infinity };
+    this.#fleet.history.faultWindows.push(window);
+    await action();
+    window.untilMs = performance.now();
   }
 
-  #gateway(at: number): SoakGateway {
-    const gateway = this.#fleet.gateways[at];
-    if (gateway === undefined) throw new Error(`There is no gateway ${at}`);
+  #gateway(index: number): SoakGateway {
+    const gateway = this.#fleet.gateways[index];
+    if (gateway === undefined) throw new Error(`No gateway at index ${index}`);
     return gateway;
   }
 
-  #server(at: number): SoakServer {
-    const server = this.#fleet.servers[at];
-    if (server === undefined) throw new Error(`There is no server ${at}`);
+  #server(index: number): SoakServer {
+    const server = this.#fleet.servers[index];
+    if (server === undefined) throw new Error(`No server at index ${index}`);
     return server;
   }
 }
--- a/soak/fault_plan.ts
+++ b/soak/fault_plan.ts
@@ -1,11 +1,11 @@
-/** Which faults are injected, and when: a list that a seed repeats. */
+/** Plans which faults are injected and when; a seed reproduces its plan. */
 
-import type { Draw } from "./draw.ts";
+import type { SeededRandom } from "./seeded_random.ts";
 import type { ServerMode } from "./soak_server.ts";
 import { SPAN_MS } from "../tests/fixtures/limit_count.ts";
-import { BOUNDS, CONTACT_MS } from "./soak_settings.ts";
+import { BOUNDS, MAX_DISCONNECTED_MS } from "./soak_settings.ts";
 
-/** One fault. Gateways and servers are told by their number. */
+/** One fault. Gateways and servers are identified by index. */
 export type Fault =
   | { readonly tag: "kill"; readonly gateways: readonly number[] }
   | { readonly tag: "planned_stop"; readonly gateway: number }
@@ -31,20 +31,20 @@
   | { readonly tag: "key_removed" }
   | {
     readonly tag: "evacuation";
-    /** Whether the watches of the store tell nothing of the order. */
+    /** Whether watches of the store do not report the evacuation order. */
     readonly unwatched?: boolean;
   };
 
-/** A fault in its place and time. */
+/** A fault with its start time. */
 export interface PlannedFault {
   readonly atMs: number;
-  /** How long it lasts, where it lasts. */
-  readonly forMs: number;
+  /** Duration of the fault; ignored by faults that have none. */
+  readonly durationMs: number;
   readonly fault: Fault;
 }
 
-/** Names of all faults; misbehaving servers come in several modes, and so more often. */
-const FAULTS: readonly Fault["tag"][] = [
+/** Tags to draw from; "server" is repeated, as its faults come in several modes. */
+const FAULT_TAGS: readonly Fault["tag"][] = [
   "server",
   "server",
   "kill",
@@ -65,30 +65,30 @@
   "configuration",
   "key_removed",
 ];
-const MODES: readonly ServerMode[] = [
+const SERVER_MODES: readonly ServerMode[] = [
   "resets",
   "silent",
   "full",
   "crossed",
   "cuts",
 ];
-/** Pauses between faults; shorter than most faults last, so that they overlap. */
-const LEAST_PAUSE_MS = 150;
-const MOST_PAUSE_MS = 900;
-/** Keys that are removed under answers that break off; enough that some caller is hit. */
-const REMOVALS = 4;
-/** Time in which callers' requests reach the server that holds them back. */
-const BEFORE_REMOVAL_MS = 250;
-const LEAST_TIME_MS = 400;
-/** Time in which servers ask for rest: several rests follow each other. */
-const NOTICE_MS = 5_000;
-const MOST_TIME_MS = 3_500;
-const RESTARTS = 4;
-const BETWEEN_RESTARTS_MS = 2_500;
+/** Pauses between faults are shorter than most faults last, so that faults overlap. */
+const MIN_PAUSE_MS = 150;
+const MAX_PAUSE_MS = 900;
+/** Number of keys removed while responses are aborted; enough that some caller is affected. */
+const KEY_REMOVALS = 4;
+/** Time for callers' requests to reach the server that delays its responses. */
+const KEY_REMOVAL_DELAY_MS = 250;
+const MIN_FAULT_MS = 400;
+/** Time in which servers request backoff; long enough for several backoffs in a row. */
+const BACKOFF_PHASE_MS = 5_000;
+const MAX_FAULT_MS = 3_500;
+const RESTART_COUNT = 4;
+const RESTART_INTERVAL_MS = 2_500;
 
 /** Draws the faults of a run. */
 export function planFaults(
-  draw: Draw,
+  random: SeededRandom,
   { runMs, gateways, servers }: {
     runMs: number;
     gateways: number;
@@ -96,124 +96,134 @@
   },
 ): PlannedFault[] {
   const plan: PlannedFault[] = [];
-  let atMs = draw.whole(LEAST_PAUSE_MS, MOST_PAUSE_MS);
+  let atMs = random.integer(MIN_PAUSE_MS, MAX_PAUSE_MS);
   while (atMs < runMs) {
-    const forMs = draw.whole(LEAST_TIME_MS, MOST_TIME_MS);
-    plan.push({ atMs, forMs, fault: drawFault(draw, { gateways, servers }) });
-    atMs += draw.whole(LEAST_PAUSE_MS, MOST_PAUSE_MS);
+    const durationMs = random.integer(MIN_FAULT_MS, MAX_FAULT_MS);
+    plan.push({
+      atMs,
+      durationMs,
+      fault: drawFault(random, { gateways, servers }),
+    });
+    atMs += random.integer(MIN_PAUSE_MS, MAX_PAUSE_MS);
   }
   return plan;
 }
 
-/** Planned work without any fault beside it, after which nothing excuses a breach. */
-export function planCalmChanges(
-  draw: Draw,
+/** Planned changes without concurrent faults, so that no fault excuses a violation. */
+export function planFaultFreeChanges(
+  random: SeededRandom,
   { gateways, servers }: { gateways: number; servers: number },
 ): PlannedFault[] {
-  const gateway = draw.whole(0, gateways - 1);
-  const server = draw.whole(0, servers - 1);
+  const gateway = random.integer(0, gateways - 1);
+  const server = random.integer(0, servers - 1);
   const faults: Fault[] = [
     { tag: "server_leaves", server },
     { tag: "key_removed" },
     { tag: "planned_stop", gateway },
     { tag: "configuration" },
   ];
-  return faults.map((fault, at) => ({
-    atMs: at * MOST_PAUSE_MS,
-    forMs: LEAST_TIME_MS,
+  return faults.map((fault, index) => ({
+    atMs: index * MAX_PAUSE_MS,
+    durationMs: MIN_FAULT_MS,
     fault,
   }));
 }
 
 /**
- * Keys are removed one after the other while a server holds answers back that it then
- * breaks off: another one each time, as gateways avoid servers that broke answers off.
+ * Removes keys one after the other while a server delays responses that it then aborts. Each
+ * removal uses another server, as gateways avoid servers that aborted responses.
  */
-export function planBrokenAnswers(
+export function planAbortedResponses(
   { servers }: { servers: number },
 ): PlannedFault[] {
-  return Array.from({ length: REMOVALS }, (_, at): PlannedFault[] => [
+  return Array.from({ length: KEY_REMOVALS }, (_, index): PlannedFault[] => [
     {
-      atMs: at * MOST_PAUSE_MS,
-      forMs: LEAST_TIME_MS,
-      fault: { tag: "server", server: at % servers, mode: "stalls" },
+      atMs: index * MAX_PAUSE_MS,
+      durationMs: MIN_FAULT_MS,
+      fault: { tag: "server", server: index % servers, mode: "stalls" },
     },
     {
-      atMs: at * MOST_PAUSE_MS + BEFORE_REMOVAL_MS,
-      forMs: LEAST_TIME_MS,
+      atMs: index * MAX_PAUSE_MS + KEY_REMOVAL_DELAY_MS,
+      durationMs: MIN_FAULT_MS,
       fault: { tag: "key_removed" },
     },
   ]).flat();
 }
 
 /**
- * A key is removed while the store answers no gateway, for longer than a removed key may
- * still open anything. A server breaks answers off around the time at which gateways no
- * longer take keys as confirmed.
+ * Removes a key while the store answers no gateway, for longer than a removed key may still be
+ * accepted. A server aborts responses around the time at which gateways stop treating their keys
+ * as confirmed.
  */
-export function planUnseenRemoval(): PlannedFault[] {
+export function planKeyRemovalDuringOutage(): PlannedFault[] {
   return [
-    { atMs: 0, forMs: 2 * BOUNDS.keyRemovalMs, fault: { tag: "store_down" } },
     {
-      atMs: LEAST_PAUSE_MS,
-      forMs: LEAST_TIME_MS,
+      atMs: 0,
+      durationMs: 2 * BOUNDS.keyRemovalMs,
+      fault: { tag: "store_down" },
+    },
+    {
+      atMs: MIN_PAUSE_MS,
+      durationMs: MIN_FAULT_MS,
       fault: { tag: "key_removed" },
     },
     {
       atMs: BOUNDS.keyRemovalMs / 2,
-      forMs: BOUNDS.keyRemovalMs / 2,
+      durationMs: BOUNDS.keyRemovalMs / 2,
       fault: { tag: "server", server: 0, mode: "stalls" },
     },
   ];
 }
 
 /**
- * All servers are evacuated for longer than news of it may take, and come back cold; then again
- * while watches tell nothing of the order. Drawn for no seed: what seeds of old have shown must
- * stay as it was.
+ * Evacuates all servers for longer than the order may take to propagate, after which they return
+ * cold; then repeats this while watches do not report the order. Not drawn from the seed, so that
+ * existing seeds keep the faults that they reproduce.
  */
 export function planEvacuation(): PlannedFault[] {
-  const forMs = 2 * BOUNDS.evacuationMs;
+  const durationMs = 2 * BOUNDS.evacuationMs;
   const fault = { tag: "evacuation" } as const;
   return [
-    { atMs: 0, forMs, fault },
-    { atMs: 2 * forMs, forMs, fault: { ...fault, unwatched: true } },
+    { atMs: 0, durationMs, fault },
+    { atMs: 2 * durationMs, durationMs, fault: { ...fault, unwatched: true } },
   ];
 }
 
 /**
- * All servers but one ask for rest again and again, and that one says that it leaves; a gateway
- * is frozen and another one stopped beside it. Drawn for no seed, as above.
+ * All servers but one request backoff repeatedly, and the last one advertises that it is draining;
+ * meanwhile one gateway is frozen and another one stopped. Not drawn from the seed, for the same
+ * reason as `planEvacuation`.
  */
-export function planNotices(
+export function planServerNotices(
   { gateways, servers }: { gateways: number; servers: number },
 ): PlannedFault[] {
-  const resting = Array.from({ length: servers - 1 }, (_, server) => ({
+  const backingOff = Array.from({ length: servers - 1 }, (_, server) => ({
     atMs: 0,
-    forMs: NOTICE_MS,
+    durationMs: BACKOFF_PHASE_MS,
     fault: { tag: "server", server, mode: "rests" } as const,
   }));
-  const leaving = {
-    atMs: LEAST_TIME_MS,
-    forMs: NOTICE_MS + 2 * BOUNDS.drainMs,
+  const draining = {
+    atMs: MIN_FAULT_MS,
+    durationMs: BACKOFF_PHASE_MS + 2 * BOUNDS.drainMs,
     fault: { tag: "server_says_it_leaves", server: servers - 1 } as const,
   };
   const frozen = {
-    atMs: MOST_PAUSE_MS,
-    forMs: LEAST_TIME_MS,
+    atMs: MAX_PAUSE_MS,
+    durationMs: MIN_FAULT_MS,
     fault: { tag: "freeze", gateway: gateways - 1 } as const,
   };
   const stopped = {
-    atMs: NOTICE_MS / 2,
-    forMs: 0,
+    atMs: BACKOFF_PHASE_MS / 2,
+    durationMs: 0,
     fault: { tag: "planned_stop", gateway: 0 } as const,
   };
-  return [...resting, leaving, frozen, stopped];
+  return [...backingOff, draining, frozen, stopped];
 }
 
 /**
- * Half of the servers name a limit, for twice the time over which it is counted; a gateway is frozen
- * and another one stopped beside it. Drawn for no seed, as above.
+ * Half of the servers advertise a rate limit, for twice the time span over which requests are
+ * counted; meanwhile one gateway is frozen and another one stopped. Not drawn from the seed, for
+ * the same reason as `planEvacuation`.
  */
 export function planLimits(
   { gateways, servers }: { gateways: number; servers: number },
@@ -222,66 +232,70 @@
     { length: Math.ceil(servers / 2) },
     (_, server) => ({
       atMs: 0,
-      forMs: CONTACT_MS + 2 * SPAN_MS,
+      durationMs: MAX_DISCONNECTED_MS + 2 * SPAN_MS,
       fault: { tag: "server", server, mode: "limits" } as const,
     }),
   );
   const frozen = {
-    atMs: CONTACT_MS,
-    forMs: LEAST_TIME_MS,
+    atMs: MAX_DISCONNECTED_MS,
+    durationMs: MIN_FAULT_MS,
     fault: { tag: "freeze", gateway: gateways - 1 } as const,
   };
   const stopped = {
-    atMs: CONTACT_MS + MOST_PAUSE_MS,
-    forMs: 0,
+    atMs: MAX_DISCONNECTED_MS + MAX_PAUSE_MS,
+    durationMs: 0,
     fault: { tag: "planned_stop", gateway: 0 } as const,
   };
   return [...limited, frozen, stopped];
 }
 
 /**
- * All gateways are killed again and again, each time as soon as they serve: what each life of a process
- * may send adds up. Drawn for no seed, as above.
+ * Kills all gateways repeatedly, each time once they serve again: what each incarnation of a process
+ * may send adds up. Not drawn from the seed, for the same reason as `planEvacuation`.
  */
 export function planRestarts(
   { gateways }: { gateways: number },
 ): PlannedFault[] {
-  const all = Array.from({ length: gateways }, (_, at) => at);
-  return Array.from({ length: RESTARTS }, (_, at) => ({
-    atMs: at * BETWEEN_RESTARTS_MS,
-    forMs: 0,
+  const all = Array.from({ length: gateways }, (_, index) => index);
+  return Array.from({ length: RESTART_COUNT }, (_, index) => ({
+    atMs: index * RESTART_INTERVAL_MS,
+    durationMs: 0,
     fault: { tag: "kill", gateways: all },
   }));
 }
 
 /**
- * Beside a request that ends servers: a gateway that is killed, and one that is frozen, once
- * all gateways know of it. Drawn for no seed, as above.
+ * While a poison request is sent: kills one gateway and freezes another, once all gateways have
+ * learnt of the request. Not drawn from the seed, for the same reason as `planEvacuation`.
  */
 export function planPoison(
   { gateways }: { gateways: number },
 ): PlannedFault[] {
   const frozen = gateways - 1;
   return [
-    { atMs: CONTACT_MS, forMs: 0, fault: { tag: "kill", gateways: [0] } },
     {
-      atMs: CONTACT_MS,
-      forMs: LEAST_TIME_MS,
+      atMs: MAX_DISCONNECTED_MS,
+      durationMs: 0,
+      fault: { tag: "kill", gateways: [0] },
+    },
+    {
+      atMs: MAX_DISCONNECTED_MS,
+      durationMs: MIN_FAULT_MS,
       fault: { tag: "freeze", gateway: frozen },
     },
   ];
 }
 
 function drawFault(
-  draw: Draw,
+  random: SeededRandom,
   { gateways, servers }: { gateways: number; servers: number },
 ): Fault {
-  const tag = draw.one(FAULTS);
-  const gateway = draw.whole(0, gateways - 1);
-  const server = draw.whole(0, servers - 1);
+  const tag = random.pick(FAULT_TAGS);
+  const gateway = random.integer(0, gateways - 1);
+  const server = random.integer(0, servers - 1);
   switch (tag) {
     case "kill":
-      return { tag, gateways: drawSome(draw, gateways) };
+      return { tag, gateways: drawGateways(random, gateways) };
     case "planned_stop":
     case "freeze":
     case "reload":
@@ -289,7 +303,7 @@
     case "store_reset":
       return { tag, gateway };
     case "server":
-      return { tag, server, mode: draw.one(MODES) };
+      return { tag, server, mode: random.pick(SERVER_MODES) };
     case "server_crash":
     case "server_leaves":
     case "server_says_it_leaves":
@@ -299,10 +313,10 @@
   }
 }
 
-/** One gateway, some, or at times all. */
-function drawSome(draw: Draw, gateways: number): number[] {
-  const share = draw.one([0, 0, 0.5, 1]);
-  const all = Array.from({ length: gateways }, (_, at) => at);
-  const some = all.filter(() => draw.unit() < share);
-  return some.length > 0 ? some : [draw.whole(0, gateways - 1)];
+/** Draws one gateway, several, or sometimes all. */
+function drawGateways(random: SeededRandom, gateways: number): number[] {
+  const share = random.pick([0, 0, 0.5, 1]);
+  const all = Array.from({ length: gateways }, (_, index) => index);
+  const some = all.filter(() => random.fraction() < share);
+  return some.length > 0 ? some : [random.integer(0, gateways - 1)];
 }
--- a/soak/history.ts
+++ b/soak/history.ts
@@ -1,21 +1,23 @@
-/** What callers and backend servers have seen, and what was done to the fleet. */
+/** Records what callers and backend servers observed, and which faults were injected. */
 
 import type { RetryHistory } from "../tests/fixtures/retry_count.ts";
 import type { GatewayName } from "./ids.ts";
 
-/** Kinds of requests. */
+/** How a request may be repeated: not at all, as a whole, or as a stream that can be resumed. */
 export type RequestKind = "once" | "repeatable" | "stream";
 
 /** How a request ended for its caller. */
 export type Ending =
   | { readonly tag: "answered"; readonly status: number; readonly body: string }
-  /** No connection came up. */
+  /** No connection was established. */
   | { readonly tag: "not_connected" }
-  /** The connection ended without a whole answer; `begun` where its head had come. */
+  /**
+   * The connection ended before a complete response; `begun` if the response headers had arrived.
+   */
   | { readonly tag: "cut"; readonly begun: boolean };
 
-/** One request as its caller saw it; all times are of one monotonic clock. */
-export interface CallerRecord {
+/** One request as its caller saw it; all times come from one monotonic clock. */
+export interface RequestRecord {
   readonly attempt: string;
   readonly kind: RequestKind;
   readonly gateway: GatewayName;
@@ -25,56 +27,56 @@
   readonly ending: Ending;
 }
 
-/** An order that no server gets anything new. */
+/** An order to send no new requests to any server. */
 export interface Evacuation {
-  readonly saidMs: number;
-  /** From then on the servers get work again, and are cold. */
-  takenBackMs: number;
+  readonly orderedMs: number;
+  /** From this time on the servers get requests again, starting cold. */
+  liftedMs: number;
 }
 
-/** One run of a request at a backend server. */
+/** One execution of a request by a backend server. */
 export interface RunRecord {
   readonly attempt: string;
   readonly server: string;
   readonly atMs: number;
-  /** Account that the gateway named; undefined where it named none. */
+  /** Client account that the gateway named; undefined if it named none. */
   readonly account: string | undefined;
-  /** Whether the caller's key was passed on. */
-  readonly keyShown: boolean;
-  /** The server left the request without a whole answer. */
-  broken: boolean;
-  /** Whether the request ends each server that begins to run it. */
+  /** Whether the gateway passed on the caller's API key. */
+  readonly keyForwarded: boolean;
+  /** Whether the server did not send a complete response. */
+  incomplete: boolean;
+  /** Whether the request crashes each server that starts to run it. */
   readonly poison: boolean;
 }
 
-/** A request as it reached a server, whether or not it ran there. */
+/** A request that reached a server, whether or not it ran there. */
 export interface ArrivalRecord {
   readonly attempt: string;
   readonly atMs: number;
 }
 
-/** The end of a server by the request that it had begun to run. */
-export interface PoisonedServer {
+/** A crash of a server, caused by a poison request that it had started to run. */
+export interface PoisonCrash {
   readonly server: string;
   readonly atMs: number;
 }
 
-/** Whom trouble hit: one gateway, or all. */
-export type Victim = GatewayName | "all";
+/** What a fault affects: one gateway, or all. */
+export type FaultTarget = GatewayName | "all";
 
-/** A span of time in which something was wrong by intent. */
-export interface Trouble {
+/** A time span in which an injected fault was active. */
+export interface FaultWindow {
   readonly name: string;
-  readonly victim: Victim;
+  readonly target: FaultTarget;
   readonly fromMs: number;
   untilMs: number;
 }
 
-/** A span of time in which a backend server was out of order by intent, or leaving. */
-export interface ServerTrouble {
+/** A time span in which a backend server was faulty on purpose, or draining. */
+export interface ServerFaultWindow {
   readonly server: string;
   readonly fromMs: number;
-  /** Infinite for a server that has crashed or leaves. */
+  /** Infinite for a server that has crashed or is draining. */
   untilMs: number;
 }
 
@@ -84,76 +86,76 @@
   readonly atMs: number;
 }
 
-/** A configuration as the store took it. */
+/** A configuration as the store received it. */
 export interface ConfigurationRecord {
   readonly version: number;
-  readonly takenMs: number;
+  readonly storedMs: number;
   readonly keys: readonly string[];
 }
 
-/** A server that was said to leave. */
-export interface LeavingRecord {
+/** A server that was marked as draining in the store. */
+export interface DrainingRecord {
   readonly server: string;
-  readonly saidMs: number;
+  readonly announcedMs: number;
 }
 
-/** A server's word to the gateway that a request came from. */
+/** A notice that a server sent to a gateway in the response to a request. */
 export interface NoticeRecord {
   readonly server: string;
   readonly attempt: string;
   readonly atMs: number;
-  /** How long it wants nothing, in milliseconds; 0 where it says that it leaves. */
-  readonly restMs: number;
+  /** Requested backoff in milliseconds; 0 if the server advertises that it is draining. */
+  readonly backoffMs: number;
 }
 
-/** An answer in which a server named its limit. */
+/** A response in which a server advertised its rate limit. */
 export interface LimitRecord {
   readonly server: string;
   readonly attempt: string;
   readonly atMs: number;
 }
 
-/** The version that a gateway showed, by a route that only it has. */
-export interface ShownVersion {
+/** Whether a gateway had a configuration version, probed by a route that only this version has. */
+export interface VersionProbe {
   readonly gateway: GatewayName;
-  /** Start of the gateway's process, which may begin anew with an older version. */
-  readonly life: number;
+  /** Number of the gateway process's start; a new process may start with an older version. */
+  readonly incarnation: number;
   readonly version: number;
-  readonly askedMs: number;
-  readonly shown: boolean;
+  readonly probedMs: number;
+  readonly hasVersion: boolean;
 }
 
-/** All that happened in one run. */
+/** All that was recorded in one run. */
 export class History {
-  readonly callers: CallerRecord[] = [];
+  readonly requests: RequestRecord[] = [];
   readonly runs: RunRecord[] = [];
   readonly arrivals: ArrivalRecord[] = [];
-  /** Requests and retries of the service that rejects all of them. */
+  /** Requests and retries of the service that rejects all requests. */
   rejected: RetryHistory = { sentMs: [], retriesMs: [] };
-  /** Attempts at the request that ends servers. */
-  readonly poisonCallers: CallerRecord[] = [];
-  readonly poisonedServers: PoisonedServer[] = [];
-  readonly troubles: Trouble[] = [];
-  readonly serverTroubles: ServerTrouble[] = [];
+  /** Attempts to send the poison request. */
+  readonly poisonRequests: RequestRecord[] = [];
+  readonly poisonCrashes: PoisonCrash[] = [];
+  readonly faultWindows: FaultWindow[] = [];
+  readonly serverFaultWindows: ServerFaultWindow[] = [];
   readonly plannedStops: PlannedStop[] = [];
   readonly configurations: ConfigurationRecord[] = [];
   readonly evacuations: Evacuation[] = [];
-  readonly leavings: LeavingRecord[] = [];
-  /** Words of servers that ask for rest, each with a request that was turned away. */
-  readonly rests: NoticeRecord[] = [];
-  /** Words of servers that leave, each with a request that ran. */
-  readonly leavingWords: NoticeRecord[] = [];
-  /** Answers of servers that name how much they take from all gateways. */
-  readonly limits: LimitRecord[] = [];
-  readonly shownVersions: ShownVersion[] = [];
-  /** Gateways that served when all faults were over. */
+  readonly drainingServers: DrainingRecord[] = [];
+  /** Backoff notices of servers, each sent with the rejection of a request. */
+  readonly backoffNotices: NoticeRecord[] = [];
+  /** Draining notices of servers, each sent with the response to a request that ran. */
+  readonly drainingNotices: NoticeRecord[] = [];
+  /** Responses in which servers advertise the rate limit that they accept from all gateways. */
+  readonly limitNotices: LimitRecord[] = [];
+  readonly versionProbes: VersionProbe[] = [];
+  /** Gateways that served requests after all faults had ended. */
   recovered: readonly GatewayName[] = [];
 }
 
-/** Runs of each attempt. */
+/** Runs of each attempt, by attempt id. */
 export type Runs = ReadonlyMap<string, readonly RunRecord[]>;
 
-/** Sorts the runs of a history by attempt. */
+/** Groups the runs of a history by attempt. */
 export function runsByAttempt({ runs }: History): Runs {
   const byAttempt = new Map<string, RunRecord[]>();
   for (const run of runs) {
--- a/soak/ids.ts
+++ b/soak/ids.ts
@@ -1,4 +1,4 @@
-/** Branded ids of the soak. */
+/** Branded ids of the soak test. */
 
 declare const brand: unique symbol;
 
--- a/soak/limit_check.ts
+++ b/soak/limit_check.ts
@@ -1,4 +1,4 @@
-/** Checks that servers get no more from all gateways together than they have named. */
+/** Checks that all gateways together keep to the rate limits that servers advertise. */
 
 import type { History, LimitRecord } from "./history.ts";
 import type { GatewayName } from "./ids.ts";
@@ -8,14 +8,18 @@
   SPAN_MS,
 } from "../tests/fixtures/limit_count.ts";
 import {
-  CONTACT_MS,
-  ON_ITS_WAY_MS,
+  IN_FLIGHT_GRACE_MS,
+  MAX_DISCONNECTED_MS,
   SERVER_LIMIT_PER_S,
 } from "./soak_settings.ts";
-import { type Violation, wasStopped, wasTroubled } from "./violation.ts";
+import {
+  type Violation,
+  wasAffectedByFault,
+  wasRestarted,
+} from "./violation.ts";
 
-/** Troubles by which a gateway forgets what it has heard, or acts late. */
-const EXCUSES: ReadonlySet<string> = new Set(["kill", "freeze"]);
+/** Faults that make a gateway lose received limits, or send requests late. */
+const EXCUSING_FAULTS: ReadonlySet<string> = new Set(["kill", "freeze"]);
 
 interface Arrival {
   readonly gateway: GatewayName;
@@ -23,55 +27,60 @@
 }
 
 /**
- * From a while after a server first named its limit on, over all gateways that had passed on such
- * an answer.
+ * Counts the requests of gateways that had forwarded a response with the limit, beginning
+ * `MAX_DISCONNECTED_MS` after the server first advertised it.
  */
 export function checkLimits(history: History): Violation[] {
-  const servers = new Set(history.limits.map(({ server }) => server));
+  const servers = new Set(history.limitNotices.map(({ server }) => server));
   return [...servers].flatMap((server) => {
-    const times = countedMs(history, server);
-    const most = mostInSpan(times);
-    if (most <= allowedInSpan(SERVER_LIMIT_PER_S)) return [];
-    const what = `${server} got ${most} in ${SPAN_MS} ms`;
-    return [{ promise: "limits of servers", what }];
+    const times = countedArrivalsMs(history, server);
+    const busiest = mostInSpan(times);
+    if (busiest <= allowedInSpan(SERVER_LIMIT_PER_S)) return [];
+    const detail = `${server} got ${busiest} requests in ${SPAN_MS} ms`;
+    return [{ promise: "limits of servers", detail }];
   });
 }
 
-/** Moments at which requests arrived that count, in rising order. */
-function countedMs(history: History, server: string): number[] {
-  const words = history.limits.filter((word) => word.server === server);
-  const firstMs = Math.min(...words.map(({ atMs }) => atMs));
-  const lastMs = Math.max(...words.map(({ atMs }) => atMs));
-  const told = toldMs(history, words);
+/** Times of the arrivals that count, in ascending order. */
+function countedArrivalsMs(history: History, server: string): number[] {
+  const notices = history.limitNotices.filter((notice) =>
+    notice.server === server
+  );
+  const firstMs = Math.min(...notices.map(({ atMs }) => atMs));
+  const lastMs = Math.max(...notices.map(({ atMs }) => atMs));
+  const knownSinceMs = limitKnownSinceMs(history, notices);
   return arrivalsAt(history, server)
     .filter(({ gateway, atMs }) =>
-      atMs >= firstMs + CONTACT_MS && atMs <= lastMs &&
-      atMs >= (told.get(gateway) ?? Infinity) + ON_ITS_WAY_MS &&
+      atMs >= firstMs + MAX_DISCONNECTED_MS && atMs <= lastMs &&
+      atMs >= (knownSinceMs.get(gateway) ?? Infinity) + IN_FLIGHT_GRACE_MS &&
       !isExcused(history, { gateway, fromMs: firstMs, untilMs: atMs })
     )
     .map(({ atMs }) => atMs)
     .sort((a, b) => a - b);
 }
 
-/** When each gateway first passed on an answer that names the limit. */
-function toldMs(
-  { callers }: History,
-  words: readonly LimitRecord[],
+/** When each gateway first forwarded a response that advertises the limit. */
+function limitKnownSinceMs(
+  { requests }: History,
+  notices: readonly LimitRecord[],
 ): ReadonlyMap<GatewayName, number> {
-  const records = new Map(callers.map((record) => [record.attempt, record]));
-  const told = new Map<GatewayName, number>();
-  for (const { attempt } of words) {
+  const records = new Map(requests.map((record) => [record.attempt, record]));
+  const knownSinceMs = new Map<GatewayName, number>();
+  for (const { attempt } of notices) {
     const record = records.get(attempt);
     if (record === undefined) continue;
     const { gateway, endMs } = record;
-    told.set(gateway, Math.min(endMs, told.get(gateway) ?? Infinity));
+    knownSinceMs.set(
+      gateway,
+      Math.min(endMs, knownSinceMs.get(gateway) ?? Infinity),
+    );
   }
-  return told;
+  return knownSinceMs;
 }
 
-function arrivalsAt({ callers, runs }: History, server: string): Arrival[] {
+function arrivalsAt({ requests, runs }: History, server: string): Arrival[] {
   const gateways = new Map(
-    callers.map(({ attempt, gateway }) => [attempt, gateway]),
+    requests.map(({ attempt, gateway }) => [attempt, gateway]),
   );
   return runs.filter((run) => run.server === server)
     .flatMap(({ attempt, atMs }) => {
@@ -84,6 +93,6 @@
   history: History,
   span: { gateway: GatewayName; fromMs: number; untilMs: number },
 ): boolean {
-  return wasTroubled(history, { ...span, names: EXCUSES }) ||
-    wasStopped(history, span);
+  return wasAffectedByFault(history, { ...span, faultTags: EXCUSING_FAULTS }) ||
+    wasRestarted(history, span);
 }
--- a/soak/limit_check_test.ts
+++ b/soak/limit_check_test.ts
@@ -7,12 +7,12 @@
 } from "../tests/fixtures/soak_history.ts";
 import type { GatewayName } from "./ids.ts";
 import { allowedInSpan, SPAN_MS } from "../tests/fixtures/limit_count.ts";
-import { CONTACT_MS, SERVER_LIMIT_PER_S } from "./soak_settings.ts";
+import { MAX_DISCONNECTED_MS, SERVER_LIMIT_PER_S } from "./soak_settings.ts";
 
 const PROMISE = "limits of servers";
 const OTHER = "vm-2" as GatewayName;
-/** When requests count that come to a server which names a limit from `SENT_MS` on. */
-const COUNTED_MS = SENT_MS + CONTACT_MS;
+/** From this time on requests count for a server that advertises a limit from `SENT_MS` on. */
+const COUNTED_MS = SENT_MS + MAX_DISCONNECTED_MS;
 
 let soak: SoakHistory;
 
@@ -20,7 +20,7 @@
   soak = new SoakHistory();
 });
 
-/** Requests that reach the server, each of which it answers with its limit. */
+/** Records requests that reach the server, each of which it answers with its limit. */
 function arrive(
   count: number,
   { gateway, fromMs, forMs }: {
@@ -35,15 +35,15 @@
     const kind = "stream" as const;
     soak.called({ attempt, gateway, sentMs: atMs, endMs: atMs + 50, kind });
     soak.ran({ attempt, atMs });
-    soak.history.limits.push({ server: "s-1", attempt, atMs });
+    soak.history.limitNotices.push({ server: "s-1", attempt, atMs });
   }
 }
 
-/** Half of what may come in a span. */
+/** Half of the requests that are allowed in a span. */
 const HALF = allowedInSpan(SERVER_LIMIT_PER_S) / 2;
 
-describe("check of limits that servers name", () => {
-  it("should count what all gateways send that have heard of it", () => {
+describe("check of advertised rate limits", () => {
+  it("should count requests of all gateways that have received the limit", () => {
     const span = { fromMs: COUNTED_MS, forMs: SPAN_MS - 100 };
     for (const gateway of [GATEWAY, OTHER]) {
       arrive(1, { gateway, fromMs: SENT_MS, forMs: 1 });
@@ -54,7 +54,7 @@
     assert.ok(soak.broken().includes(PROMISE));
   });
 
-  it("should not count who has not heard, was frozen, or what came soon after the first word", () => {
+  it("should not count gateways that have not received the limit or were frozen, or requests soon after it was first advertised", () => {
     arrive(10 * HALF, { gateway: GATEWAY, fromMs: SENT_MS, forMs: 1_000 });
     assert.equal(soak.broken().includes(PROMISE), false);
     const span = { fromMs: COUNTED_MS, forMs: 400 };
@@ -62,9 +62,9 @@
     assert.equal(soak.broken().includes(PROMISE), false);
     arrive(3 * HALF, { ...span, gateway: GATEWAY });
     assert.ok(soak.broken().includes(PROMISE));
-    soak.history.troubles.push({
+    soak.history.faultWindows.push({
       name: "freeze",
-      victim: GATEWAY,
+      target: GATEWAY,
       fromMs: SENT_MS,
       untilMs: SENT_MS + 500,
     });
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: plays seeds, and says what broke. */
+/** `npm run soak`: plays seeds and reports violations. */
 
 import { readFileSync } from "node:fs";
 import process from "node:process";
@@ -8,35 +8,41 @@
 import type { SoakResult } from "./soak_run.ts";
 import { runSeed } from "./soak_run.ts";
 
-/** Seeds that broke something once, with the cause. */
+/** Seeds that once violated a promise, with the cause. */
 const REGRESSIONS = "soak/regressions.yaml";
 const MS_PER_SECOND = 1_000;
 const SECONDS_PER_MINUTE = 60;
-const VIOLATIONS_SHOWN = 10;
-/** Fresh seeds are drawn below this, so that they are easy to type. */
-const MOST_SEED = 1_000_000;
+const MAX_PRINTED_VIOLATIONS = 10;
+/** Random seeds are below this, so that they are easy to type. */
+const MAX_SEED = 1_000_000;
 
 const options = await yargs(hideBin(process.argv))
   .scriptName("npm run soak --")
   .option("seed", { type: "number", describe: "Play this seed only" })
   .option("first", { type: "number", default: 1, describe: "First seed" })
-  .option("seeds", { type: "number", describe: "Play so many seeds in turn" })
+  .option("seeds", {
+    type: "number",
+    describe: "Number of consecutive seeds to play, from --first on",
+  })
   .option("minutes", {
     type: "number",
-    describe: "Play fresh seeds for so many minutes",
+    describe: "Play random seeds for this many minutes",
   })
   .option("regressions", {
     type: "boolean",
     default: false,
-    describe: `Play the seeds of ${REGRESSIONS} as well`,
+    describe: `Also play the seeds of ${REGRESSIONS}`,
+  })
+  .option("seconds", {
+    default: 15,
+    describe: "Duration of the fault phase of a seed, in seconds",
   })
-  .option("seconds", { default: 15, describe: "Time with faults of one seed" })
-  .option("gateways", { default: 5, describe: "Processes" })
-  .option("servers", { default: 4, describe: "Backend servers" })
-  .option("callers", { default: 12, describe: "Callers at once" })
+  .option("gateways", { default: 5, describe: "Number of gateway processes" })
+  .option("servers", { default: 4, describe: "Number of backend servers" })
+  .option("callers", { default: 12, describe: "Number of concurrent callers" })
   .option("folder", {
     default: "target/soak",
-    describe: "Where settings and logs of the processes go",
+    describe: "Folder for settings and logs of the processes",
   })
   .strict()
   .parse();
@@ -70,7 +76,7 @@
   for (let n = 0; n < (options.seeds ?? 0); n++) yield options.first + n;
   const minutes = options.minutes ?? 0;
   const untilMs = Date.now() + minutes * SECONDS_PER_MINUTE * MS_PER_SECOND;
-  while (Date.now() < untilMs) yield Math.floor(Math.random() * MOST_SEED);
+  while (Date.now() < untilMs) yield Math.floor(Math.random() * MAX_SEED);
 }
 
 function play(seed: number): Promise<SoakResult> {
@@ -79,20 +85,22 @@
 
 function report(result: SoakResult): boolean {
   const { seed, requests, answered, faults, violations } = result;
-  const verdict = violations.length === 0
+  const outcome = violations.length === 0
     ? "holds"
     : `BROKEN (${violations.length})`;
   console.log(
     `seed ${seed} | ${requests} requests, ${answered} answered | ` +
-      `${faults.length} faults: ${countsOf(result)} | ${verdict}`,
+      `${faults.length} faults: ${formatFaultCounts(result)} | ${outcome}`,
   );
-  for (const { promise, what } of violations.slice(0, VIOLATIONS_SHOWN)) {
-    console.log(`  ${promise}: ${what}`);
+  for (
+    const { promise, detail } of violations.slice(0, MAX_PRINTED_VIOLATIONS)
+  ) {
+    console.log(`  ${promise}: ${detail}`);
   }
   return violations.length === 0;
 }
 
-function countsOf({ faults }: SoakResult): string {
+function formatFaultCounts({ faults }: SoakResult): string {
   const counts = new Map<string, number>();
   for (const { fault } of faults) {
     counts.set(fault.tag, (counts.get(fault.tag) ?? 0) + 1);
--- a/soak/notice_check.ts
+++ b/soak/notice_check.ts
@@ -1,44 +1,54 @@
-/** Checks that gateways keep to what servers say of themselves. */
+/**
+ * Checks that gateways act on the notices in which servers request backoff or advertise draining.
+ */
 
 import type { History, NoticeRecord } from "./history.ts";
 import type { GatewayName } from "./ids.ts";
-import { BOUNDS, ON_ITS_WAY_MS } from "./soak_settings.ts";
-import { type Violation, wasStopped, wasTroubled } from "./violation.ts";
+import { BOUNDS, IN_FLIGHT_GRACE_MS } from "./soak_settings.ts";
+import {
+  type Violation,
+  wasAffectedByFault,
+  wasRestarted,
+} from "./violation.ts";
 
-/** Troubles by which a gateway forgets what it has heard, or acts late. */
-const EXCUSES: ReadonlySet<string> = new Set(["kill", "freeze"]);
+/** Faults that make a gateway lose received notices, or send requests late. */
+const EXCUSING_FAULTS: ReadonlySet<string> = new Set(["kill", "freeze"]);
 
 /** A request that reached a server, whether or not it ran there. */
 interface Arrival {
   readonly server: string;
   readonly gateway: GatewayName;
   readonly attempt: string;
-  /** When its caller sent it, and when it arrived. */
+  /** When the caller sent the request, and when it arrived. */
   readonly sentMs: number;
   readonly atMs: number;
 }
 
-/** Nothing reaches a server from a gateway that it has asked for rest. */
-export function checkRests(history: History): Violation[] {
-  const arrivals = arrivalsOf(history);
-  return breaches(history, {
+/**
+ * A gateway must not send requests to a server during the backoff that the server requested from
+ * it.
+ */
+export function checkBackoffNotices(history: History): Violation[] {
+  const arrivals = listArrivals(history);
+  return findViolations(history, {
     promise: "rests of servers",
-    words: history.rests,
-    late: ({ server, atMs, restMs }, gateway) =>
+    notices: history.backoffNotices,
+    findLateArrival: ({ server, atMs, backoffMs }, gateway) =>
       arrivals.find((arrival) =>
         arrival.server === server && arrival.gateway === gateway &&
-        arrival.atMs > atMs + ON_ITS_WAY_MS && arrival.atMs < atMs + restMs
+        arrival.atMs > atMs + IN_FLIGHT_GRACE_MS &&
+        arrival.atMs < atMs + backoffMs
       ),
   });
 }
 
-/** Nothing that comes later reaches a server that has said to a gateway that it leaves. */
-export function checkLeavingWords(history: History): Violation[] {
-  const arrivals = arrivalsOf(history);
-  return breaches(history, {
+/** A gateway must not send newer requests to a server that advertised to it that it is draining. */
+export function checkDrainingNotices(history: History): Violation[] {
+  const arrivals = listArrivals(history);
+  return findViolations(history, {
     promise: "leaving words of servers",
-    words: history.leavingWords,
-    late: ({ server, atMs }, gateway) =>
+    notices: history.drainingNotices,
+    findLateArrival: ({ server, atMs }, gateway) =>
       arrivals.find((arrival) =>
         arrival.server === server && arrival.gateway === gateway &&
         arrival.sentMs > atMs + BOUNDS.drainMs
@@ -46,37 +56,48 @@
   });
 }
 
-function breaches(
+function findViolations(
   history: History,
-  { promise, words, late }: {
+  { promise, notices, findLateArrival }: {
     promise: string;
-    words: readonly NoticeRecord[];
-    late: (word: NoticeRecord, gateway: GatewayName) => Arrival | undefined;
+    notices: readonly NoticeRecord[];
+    findLateArrival: (
+      notice: NoticeRecord,
+      gateway: GatewayName,
+    ) => Arrival | undefined;
   },
 ): Violation[] {
-  const gateways = gatewaysOf(history);
-  return words.flatMap((word) => {
-    const gateway = gateways.get(word.attempt);
-    const arrival = gateway && late(word, gateway);
+  const gateways = gatewaysByAttempt(history);
+  return notices.flatMap((notice) => {
+    const gateway = gateways.get(notice.attempt);
+    const arrival = gateway && findLateArrival(notice, gateway);
     if (arrival === undefined) return [];
-    const span = { gateway: arrival.gateway, fromMs: word.atMs };
+    const span = { gateway: arrival.gateway, fromMs: notice.atMs };
     const untilMs = arrival.atMs;
-    if (wasTroubled(history, { ...span, untilMs, names: EXCUSES })) return [];
-    if (wasStopped(history, { ...span, untilMs })) return [];
-    const afterMs = Math.round(arrival.atMs - word.atMs);
-    const what = `${arrival.attempt} reached ${word.server} by ` +
-      `${arrival.gateway} ${afterMs} ms after its word`;
-    return [{ promise, what }];
+    if (
+      wasAffectedByFault(history, {
+        ...span,
+        untilMs,
+        faultTags: EXCUSING_FAULTS,
+      })
+    ) return [];
+    if (wasRestarted(history, { ...span, untilMs })) return [];
+    const afterMs = Math.round(arrival.atMs - notice.atMs);
+    const detail = `${arrival.attempt} reached ${notice.server} from ` +
+      `${arrival.gateway} ${afterMs} ms after its notice`;
+    return [{ promise, detail }];
   });
 }
 
-function gatewaysOf({ callers }: History): ReadonlyMap<string, GatewayName> {
-  return new Map(callers.map(({ attempt, gateway }) => [attempt, gateway]));
+function gatewaysByAttempt(
+  { requests }: History,
+): ReadonlyMap<string, GatewayName> {
+  return new Map(requests.map(({ attempt, gateway }) => [attempt, gateway]));
 }
 
-function arrivalsOf({ callers, runs, rests }: History): Arrival[] {
-  const records = new Map(callers.map((record) => [record.attempt, record]));
-  return [...runs, ...rests].flatMap(({ attempt, server, atMs }) => {
+function listArrivals({ requests, runs, backoffNotices }: History): Arrival[] {
+  const records = new Map(requests.map((record) => [record.attempt, record]));
+  return [...runs, ...backoffNotices].flatMap(({ attempt, server, atMs }) => {
     const record = records.get(attempt);
     if (record === undefined) return [];
     const { gateway, sentMs } = record;
--- a/soak/notice_check_test.ts
+++ b/soak/notice_check_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { wholeBody } from "./answer_bodies.ts";
+import { responseBody } from "./response_bodies.ts";
 import { BOUNDS } from "./soak_settings.ts";
 import {
   ATTEMPT,
@@ -14,11 +14,11 @@
   soak = new SoakHistory();
 });
 
-describe("check of what servers say of themselves", () => {
-  it("should find requests within a rest, but for what was on its way", () => {
+describe("check of the notices of servers", () => {
+  it("should find requests during a backoff, except those already in flight", () => {
     soak.called();
-    const rest = { server: "s-1", attempt: ATTEMPT, restMs: 1_500 };
-    soak.history.rests.push({ ...rest, atMs: SENT_MS });
+    const notice = { server: "s-1", attempt: ATTEMPT, backoffMs: 1_500 };
+    soak.history.backoffNotices.push({ ...notice, atMs: SENT_MS });
     for (const [attempt, atMs] of [["a-2", 400], ["a-3", 1_600]] as const) {
       soak.called({ attempt });
       soak.ran({ attempt, atMs: SENT_MS + atMs });
@@ -27,31 +27,39 @@
     soak.called({ attempt: "a-4" });
     soak.ran({ attempt: "a-4", atMs: SENT_MS + 900 });
     assert.ok(soak.broken().includes("rests of servers"));
-    soak.history.troubles.push({
+    soak.history.faultWindows.push({
       name: "freeze",
-      victim: GATEWAY,
+      target: GATEWAY,
       fromMs: SENT_MS,
       untilMs: SENT_MS + 500,
     });
     assert.equal(soak.broken().includes("rests of servers"), false);
   });
 
-  it("should count what is turned away again as sent within a rest", () => {
+  it("should count requests rejected with another backoff as sent during the backoff", () => {
     soak.called();
     soak.called({
       attempt: "a-2",
-      ending: { tag: "answered", status: 200, body: wholeBody("a-2") },
+      ending: { tag: "answered", status: 200, body: responseBody("a-2") },
+    });
+    const notice = { server: "s-1", backoffMs: 1_500 };
+    soak.history.backoffNotices.push({
+      ...notice,
+      attempt: ATTEMPT,
+      atMs: SENT_MS,
+    });
+    soak.history.backoffNotices.push({
+      ...notice,
+      attempt: "a-2",
+      atMs: SENT_MS + 900,
     });
-    const rest = { server: "s-1", restMs: 1_500 };
-    soak.history.rests.push({ ...rest, attempt: ATTEMPT, atMs: SENT_MS });
-    soak.history.rests.push({ ...rest, attempt: "a-2", atMs: SENT_MS + 900 });
     assert.deepEqual(soak.broken(), ["rests of servers"]);
   });
 
-  it("should find requests that come after a server's word that it leaves", () => {
+  it("should find requests that arrive after a server advertised that it is draining", () => {
     soak.called();
-    const word = { server: "s-1", attempt: ATTEMPT, restMs: 0 };
-    soak.history.leavingWords.push({ ...word, atMs: SENT_MS });
+    const notice = { server: "s-1", attempt: ATTEMPT, backoffMs: 0 };
+    soak.history.drainingNotices.push({ ...notice, atMs: SENT_MS });
     const lateMs = SENT_MS + BOUNDS.drainMs + 100;
     soak.called({ attempt: "a-2", sentMs: lateMs, kind: "repeatable" });
     soak.ran({ attempt: "a-2", atMs: lateMs + 10 });
--- a/soak/poison_caller.ts
+++ b/soak/poison_caller.ts
@@ -1,27 +1,26 @@
-/** A caller whose one request ends each server that begins to run it, and who comes again. */
+/** Repeatedly sends a poison request, which crashes each server that starts to run it. */
 
 import { performance } from "node:perf_hooks";
 import { request } from "undici";
 import { pause } from "../src/runtime/pause.ts";
-import type { Draw } from "./draw.ts";
+import type { SeededRandom } from "./seeded_random.ts";
 import type { Ending, History } from "./history.ts";
 import type { SoakGateway } from "./soak_gateway.ts";
 import { HOST, POISON_PATH } from "./soak_settings.ts";
 
 /** Pauses between attempts, in milliseconds. */
-const LEAST_PAUSE_MS = 20;
-const MOST_PAUSE_MS = 150;
-const WAIT_MS = 3_000;
+const MIN_PAUSE_MS = 20;
+const MAX_PAUSE_MS = 150;
+const REQUEST_TIMEOUT_MS = 3_000;
 
-/** What the caller works with. */
 export interface PoisonOptions {
   readonly history: History;
   readonly gateways: readonly SoakGateway[];
-  readonly draw: Draw;
+  readonly random: SeededRandom;
   readonly keys: () => readonly string[];
 }
 
-/** Sends the same request at any gateway until it is told to stop. */
+/** Sends the same request to random gateways until it is stopped. */
 export class PoisonCaller {
   readonly #name: string;
   readonly #options: PoisonOptions;
@@ -32,12 +31,12 @@
     this.#options = options;
   }
 
-  /** Comes again and again, on a new connection each time. */
+  /** Sends the request repeatedly, on a new connection each time. */
   async run(stopped: () => boolean): Promise<void> {
-    const { draw, gateways } = this.#options;
+    const { random, gateways } = this.#options;
     while (!stopped()) {
-      await this.#call(draw.one(gateways));
-      await pause(draw.whole(LEAST_PAUSE_MS, MOST_PAUSE_MS));
+      await this.#call(random.pick(gateways));
+      await pause(random.integer(MIN_PAUSE_MS, MAX_PAUSE_MS));
     }
   }
 
@@ -48,7 +47,7 @@
     const key = keys()[0] ?? "";
     const sentMs = performance.now();
     const ending = await send(gateway, { attempt, key });
-    history.poisonCallers.push({
+    history.poisonRequests.push({
       attempt,
       kind: "stream",
       gateway: gateway.name,
@@ -71,17 +70,17 @@
         host: HOST,
         authorization: `Bearer ${key}`,
         "fieldrack-attempt-id": attempt,
-        "fieldrack-deadline-ms": String(WAIT_MS),
+        "fieldrack-deadline-ms": String(REQUEST_TIMEOUT_MS),
       },
       reset: true,
-      headersTimeout: 2 * WAIT_MS,
-      bodyTimeout: 2 * WAIT_MS,
+      headersTimeout: 2 * REQUEST_TIMEOUT_MS,
+      bodyTimeout: 2 * REQUEST_TIMEOUT_MS,
     });
     begun = true;
     const body = await res.body.text();
     return { tag: "answered", status: res.statusCode, body };
   } catch {
-    // How it ended does not matter: servers tell what was sent to them.
+    // The ending does not matter: servers record the requests that reach them.
     return { tag: "cut", begun };
   }
 }
--- a/soak/poison_check.ts
+++ b/soak/poison_check.ts
@@ -1,38 +1,50 @@
-/** Checks what must hold for a request that ends servers, and for all others beside it. */
+/** Checks that poison requests are blocked, and that no other requests are. */
 
 import type { History } from "./history.ts";
-import { CONTACT_MS, POISON_LIMIT } from "./soak_settings.ts";
-import { type Violation, violation, wasTroubled } from "./violation.ts";
+import { MAX_DISCONNECTED_MS, MAX_POISON_CRASHES } from "./soak_settings.ts";
+import {
+  requestViolation,
+  type Violation,
+  wasAffectedByFault,
+} from "./violation.ts";
 
-/** How a gateway refuses a request that crashes servers, before or after a run of its own. */
+/** Matches refusals of a poison request, both before it ran and after the gateway's own attempt. */
 const POISON_REFUSAL = /"crashes_servers"|servers have ended while they ran it/;
 
-/** Once three servers have ended under a request and all gateways know, none sends it. */
+/** Once three servers have crashed and all gateways know, no gateway sends the request. */
 export function checkPoison(
-  { poisonedServers, poisonCallers, runs, ...history }: History,
+  { poisonCrashes, poisonRequests, runs, ...history }: History,
 ): Violation[] {
-  const third = poisonedServers[POISON_LIMIT - 1];
-  if (third === undefined) return [];
-  const callers = new Map(poisonCallers.map((one) => [one.attempt, one]));
+  const thresholdCrash = poisonCrashes[MAX_POISON_CRASHES - 1];
+  if (thresholdCrash === undefined) return [];
+  const requests = new Map(poisonRequests.map((one) => [one.attempt, one]));
   return runs
-    .filter(({ poison, atMs }) => poison && atMs > third.atMs + CONTACT_MS)
+    .filter(({ poison, atMs }) =>
+      poison && atMs > thresholdCrash.atMs + MAX_DISCONNECTED_MS
+    )
     .flatMap(({ attempt, server, atMs }) => {
-      const record = callers.get(attempt);
+      const record = requests.get(attempt);
       if (record === undefined) return [];
       const { gateway, sentMs } = record;
       const span = { gateway, fromMs: sentMs, untilMs: atMs };
-      if (wasTroubled(history, span)) return [];
-      return [violation("crashing requests", record, `ran at ${server}`)];
+      if (wasAffectedByFault(history, span)) return [];
+      return [
+        requestViolation("crashing requests", record, `ran at ${server}`),
+      ];
     });
 }
 
-/** Only the request that ends servers is taken for it. */
-export function checkInnocents({ callers }: History): Violation[] {
-  return callers
+/** Only the poison request may be refused as one. */
+export function checkFalsePositives({ requests }: History): Violation[] {
+  return requests
     .filter(({ ending }) =>
       ending.tag === "answered" && POISON_REFUSAL.test(ending.body)
     )
     .map((record) =>
-      violation("innocent requests", record, "was taken to crash servers")
+      requestViolation(
+        "innocent requests",
+        record,
+        "was refused as a poison request",
+      )
     );
 }
--- a/soak/poison_check_test.ts
+++ b/soak/poison_check_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { CONTACT_MS } from "./soak_settings.ts";
+import { MAX_DISCONNECTED_MS } from "./soak_settings.ts";
 import {
   GATEWAY,
   SENT_MS,
@@ -13,33 +13,37 @@
 });
 
 describe("check of a request that crashes servers", () => {
-  /** Three servers have ended so long before, and the request reaches another. */
-  function ranAfter(sinceMs: number): void {
+  /** Records three crashes this long before, and a run of the request on a fourth server. */
+  function runAfterCrashes(sinceMs: number): void {
     for (const n of [1, 2, 3]) {
       const atMs = SENT_MS - sinceMs + n;
-      soak.history.poisonedServers.push({ server: `s-${n}`, atMs });
+      soak.history.poisonCrashes.push({ server: `s-${n}`, atMs });
     }
     soak.called();
-    soak.history.poisonCallers.push(...soak.history.callers.splice(0));
-    soak.ran({ poison: true, broken: true, server: "s-4" });
+    soak.history.poisonRequests.push(...soak.history.requests.splice(0));
+    soak.ran({ poison: true, incomplete: true, server: "s-4" });
   }
 
-  it("should find that it was sent after all had time to know", () => {
-    ranAfter(CONTACT_MS + 100);
+  it("should find that it was sent after all gateways had time to learn of the crashes", () => {
+    runAfterCrashes(MAX_DISCONNECTED_MS + 100);
     assert.deepEqual(soak.broken(), ["crashing requests"]);
   });
 
-  it("should allow it while news is on its way, or to a gateway that was frozen", () => {
-    ranAfter(CONTACT_MS - 100);
+  it("should allow it while the crashes are being propagated, or from a gateway that was frozen", () => {
+    runAfterCrashes(MAX_DISCONNECTED_MS - 100);
     assert.deepEqual(soak.broken(), []);
     soak = new SoakHistory();
-    ranAfter(CONTACT_MS + 100);
+    runAfterCrashes(MAX_DISCONNECTED_MS + 100);
     const span = { fromMs: 0, untilMs: SENT_MS - 100 };
-    soak.history.troubles.push({ name: "freeze", victim: GATEWAY, ...span });
+    soak.history.faultWindows.push({
+      name: "freeze",
+      target: GATEWAY,
+      ...span,
+    });
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should find another request that was taken for it", () => {
+  it("should find another request that was refused as a poison request", () => {
     const body = '{"code":"crashes_servers"}';
     soak.called({ ending: { tag: "answered", status: 503, body } });
     assert.deepEqual(soak.broken(), ["innocent requests"]);
--- a/soak/promise_checker.ts
+++ b/soak/promise_checker.ts
@@ -1,156 +1,175 @@
-/** Checks what must always hold against the history of a run. */
+/** Checks the history of a run against the promises that must always hold. */
 
 import { checkAccepted } from "./accepted_check.ts";
 import {
-  type CallerRecord,
   type History,
+  type RequestRecord,
   type Runs,
   runsByAttempt,
 } from "./history.ts";
-import { streamBody, wholeBody } from "./answer_bodies.ts";
-import { checkInnocents, checkPoison } from "./poison_check.ts";
+import { responseBody, streamBody } from "./response_bodies.ts";
+import { checkFalsePositives, checkPoison } from "./poison_check.ts";
 import { checkLimits } from "./limit_check.ts";
-import { checkLeavingWords, checkRests } from "./notice_check.ts";
+import { checkBackoffNotices, checkDrainingNotices } from "./notice_check.ts";
 import { checkRetries } from "./retry_check.ts";
 import { ACCOUNT, BOUNDS, MS_PER_SECOND, WARMUP } from "./soak_settings.ts";
 import {
-  isNextToPlannedStop,
+  endedDuringPlannedStop,
+  requestViolation,
   type Violation,
-  violation,
-  wasTroubled,
+  wasAffectedByFault,
 } from "./violation.ts";
 
-/** Statuses by which a gateway says that a request has not run and never will. */
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses by which a gateway states that a request has not run and will not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Returns all promises that were broken. */
 export function checkPromises(history: History): Violation[] {
   const runs = runsByAttempt(history);
   return [
     ...checkAtMostOnce(history, runs),
-    ...checkRefusals(history, runs),
-    ...checkWholeAnswers(history),
-    ...checkKeys(history, runs),
-    ...checkLeaving(history, runs),
+    ...checkRefusedRequests(history, runs),
+    ...checkResponseBodies(history),
+    ...checkApiKeys(history, runs),
+    ...checkDrainingServers(history, runs),
     ...checkEvacuations(history, runs),
-    ...checkColdServers(history),
+    ...checkSlowStart(history),
     ...checkPlannedStops(history, runs),
     ...checkAccepted(history, runs),
-    ...checkVersions(history),
+    ...checkConfigurationVersions(history),
     ...checkPoison(history),
-    ...checkInnocents(history),
-    ...checkRests(history),
-    ...checkLeavingWords(history),
+    ...checkFalsePositives(history),
+    ...checkBackoffNotices(history),
+    ...checkDrainingNotices(history),
     ...checkLimits(history),
     ...checkRetries(history),
   ];
 }
 
-function checkAtMostOnce({ callers }: History, runs: Runs): Violation[] {
-  return callers
+function checkAtMostOnce({ requests }: History, runs: Runs): Violation[] {
+  return requests
     .filter(({ kind }) => kind === "once")
     .filter(({ attempt }) => (runs.get(attempt)?.length ?? 0) > 1)
-    .map((record) => violation("at most once", record, "ran twice"));
+    .map((record) => requestViolation("at most once", record, "ran twice"));
 }
 
-function checkRefusals({ callers }: History, runs: Runs): Violation[] {
-  return callers
+function checkRefusedRequests({ requests }: History, runs: Runs): Violation[] {
+  return requests
     .filter(({ ending }) =>
-      ending.tag === "answered" && NOT_RUN.has(ending.status)
+      ending.tag === "answered" && NOT_RUN_STATUSES.has(ending.status)
     )
     .filter(({ kind, attempt }) => kind === "once" && runs.has(attempt))
-    .map((record) => violation("refusals are true", record, "had run"));
+    .map((record) =>
+      requestViolation("refusals are true", record, "was refused, but had run")
+    );
 }
 
-function checkWholeAnswers({ callers }: History): Violation[] {
-  return callers.flatMap((record) => {
+function checkResponseBodies({ requests }: History): Violation[] {
+  return requests.flatMap((record) => {
     const { ending, attempt, kind } = record;
     if (ending.tag !== "answered" || ending.status !== 200) return [];
     const expected = kind === "stream"
       ? streamBody(attempt, 0)
-      : wholeBody(attempt);
+      : responseBody(attempt);
     if (ending.body === expected) return [];
-    return [violation("whole answers", record, `got ${ending.body}`)];
+    return [
+      requestViolation("whole answers", record, `got the body ${ending.body}`),
+    ];
   });
 }
 
-function checkKeys(history: History, runs: Runs): Violation[] {
-  const shown = history.runs
-    .filter(({ keyShown, account }) => keyShown || account !== ACCOUNT)
+function checkApiKeys(history: History, runs: Runs): Violation[] {
+  const exposed = history.runs
+    .filter(({ keyForwarded, account }) => keyForwarded || account !== ACCOUNT)
     .map(({ attempt, server }) => ({
       promise: "keys stay here",
-      what: `${attempt} at ${server} without its account, or with a key`,
+      detail:
+        `${attempt} at ${server} without its client account, or with an API key`,
     }));
-  const removed = history.callers
+  const removed = history.requests
     .filter(({ attempt }) => runs.has(attempt))
-    .filter((record) => wasRemovedLongBefore(history, record))
-    .map((record) => violation("removed keys", record, "ran"));
-  return [...shown, ...removed];
+    .filter((record) => usedExpiredKey(history, record))
+    .map((record) =>
+      requestViolation("removed keys", record, "ran after its key was removed")
+    );
+  return [...exposed, ...removed];
 }
 
-function wasRemovedLongBefore(
+function usedExpiredKey(
   { configurations }: History,
-  { key, sentMs }: CallerRecord,
+  { key, sentMs }: RequestRecord,
 ): boolean {
   const untilMs = sentMs - BOUNDS.keyRemovalMs;
-  const inForce = configurations.filter(({ takenMs }) => takenMs < untilMs);
-  const later = configurations.filter(({ takenMs }) =>
-    takenMs >= untilMs && takenMs <= sentMs
+  const inForce = configurations.filter(({ storedMs }) => storedMs < untilMs);
+  const later = configurations.filter(({ storedMs }) =>
+    storedMs >= untilMs && storedMs <= sentMs
   );
-  // The last one before the limit must lack the key, and so must all since.
+  // The last configuration before the limit must lack the key, and so must all later ones.
   const last = inForce.at(-1);
   if (last === undefined) return false;
   return [last, ...later].every(({ keys }) => !keys.includes(key));
 }
 
-function checkLeaving(history: History, runs: Runs): Violation[] {
-  return history.callers.flatMap((record) => {
+function checkDrainingServers(history: History, runs: Runs): Violation[] {
+  return history.requests.flatMap((record) => {
     const { sentMs, gateway } = record;
     const late = (runs.get(record.attempt) ?? []).filter(({ server }) => {
-      const leaving = history.leavings.find((one) => one.server === server);
-      if (leaving === undefined) return false;
-      const limitMs = leaving.saidMs + BOUNDS.drainMs;
+      const draining = history.drainingServers.find((one) =>
+        one.server === server
+      );
+      if (draining === undefined) return false;
+      const limitMs = draining.announcedMs + BOUNDS.drainMs;
       return sentMs > limitMs &&
-        !wasTroubled(history, {
+        !wasAffectedByFault(history, {
           gateway,
-          fromMs: leaving.saidMs,
+          fromMs: draining.announcedMs,
           untilMs: sentMs,
         });
     });
     if (late.length === 0) return [];
-    return [violation("leaving servers", record, `ran at ${late[0]?.server}`)];
+    return [
+      requestViolation("leaving servers", record, `ran at ${late[0]?.server}`),
+    ];
   });
 }
 
 function checkEvacuations(history: History, runs: Runs): Violation[] {
-  return history.callers
+  return history.requests
     .filter(({ attempt }) => runs.has(attempt))
     .filter(({ gateway, sentMs }) =>
-      history.evacuations.some(({ saidMs, takenBackMs }) =>
-        sentMs > saidMs + BOUNDS.evacuationMs && sentMs < takenBackMs &&
-        !wasTroubled(history, { gateway, fromMs: saidMs, untilMs: sentMs })
+      history.evacuations.some(({ orderedMs, liftedMs }) =>
+        sentMs > orderedMs + BOUNDS.evacuationMs && sentMs < liftedMs &&
+        !wasAffectedByFault(history, {
+          gateway,
+          fromMs: orderedMs,
+          untilMs: sentMs,
+        })
       )
     )
-    // What is sent just before the servers return may run just after.
+    // A request sent just before the evacuation is lifted may run just after.
     .filter(({ attempt, sentMs }) =>
       (runs.get(attempt) ?? []).some(({ atMs }) =>
-        history.evacuations.some(({ saidMs, takenBackMs }) =>
-          atMs > saidMs && atMs < takenBackMs && sentMs < takenBackMs
+        history.evacuations.some(({ orderedMs, liftedMs }) =>
+          atMs > orderedMs && atMs < liftedMs && sentMs < liftedMs
         )
       )
     )
-    .map((record) => violation("evacuated servers", record, "ran"));
+    .map((record) =>
+      requestViolation(
+        "evacuated servers",
+        record,
+        "ran at an evacuated server",
+      )
+    );
 }
 
-/** Over all gateways together, in touch or not, in any second of the warm-up. */
-function checkColdServers({ evacuations, runs }: History): Violation[] {
+/** Counts requests of all gateways together, connected or not, in any second of slow start. */
+function checkSlowStart({ evacuations, runs }: History): Violation[] {
   const { durationS, requestsPerSecond, overshoot, allowance } = WARMUP;
-  const most = requestsPerSecond * overshoot + allowance;
-  return evacuations.flatMap(({ takenBackMs }) => {
-    const untilMs = takenBackMs + durationS * MS_PER_SECOND;
-    const cold = runs.filter(({ atMs }) =>
-      atMs >= takenBackMs && atMs < untilMs
-    );
+  const limit = requestsPerSecond * overshoot + allowance;
+  return evacuations.flatMap(({ liftedMs }) => {
+    const untilMs = liftedMs + durationS * MS_PER_SECOND;
+    const cold = runs.filter(({ atMs }) => atMs >= liftedMs && atMs < untilMs);
     const servers = new Set(cold.map(({ server }) => server));
     return [...servers].flatMap((server) => {
       const times = cold.filter((run) => run.server === server)
@@ -163,41 +182,46 @@
             .length
         ),
       );
-      if (busiest <= most) return [];
-      const what = `${server} got ${busiest} in a second`;
-      return [{ promise: "cold servers", what }];
+      if (busiest <= limit) return [];
+      const detail = `${server} got ${busiest} requests in a second`;
+      return [{ promise: "cold servers", detail }];
     });
   });
 }
 
 function checkPlannedStops(history: History, runs: Runs): Violation[] {
-  return history.callers
+  return history.requests
     .filter(({ ending }) => ending.tag === "cut")
     .filter(({ attempt }) =>
-      (runs.get(attempt) ?? []).some(({ broken }) => !broken)
+      (runs.get(attempt) ?? []).some(({ incomplete }) => !incomplete)
     )
-    .filter((record) => isNextToPlannedStop(history, record))
+    .filter((record) => endedDuringPlannedStop(history, record))
     .filter(({ gateway, sentMs, endMs }) =>
-      !wasTroubled(history, { gateway, fromMs: sentMs, untilMs: endMs })
+      !wasAffectedByFault(history, { gateway, fromMs: sentMs, untilMs: endMs })
     )
-    .map((record) => violation("planned stops", record, "was cut"));
+    .map((record) =>
+      requestViolation("planned stops", record, "was cut by a planned stop")
+    );
 }
 
-/** A gateway that has shown a version in one life must go on to do so. */
-function checkVersions({ shownVersions }: History): Violation[] {
+/** A gateway that has had a version must still have it later in the same incarnation. */
+function checkConfigurationVersions({ versionProbes }: History): Violation[] {
   const first = new Map<string, number>();
   const violations: Violation[] = [];
-  for (const { gateway, life, version, askedMs, shown } of shownVersions) {
-    const key = `${gateway}/${life}/${version}`;
+  for (
+    const { gateway, incarnation, version, probedMs, hasVersion }
+      of versionProbes
+  ) {
+    const key = `${gateway}/${incarnation}/${version}`;
     const since = first.get(key);
-    if (shown) {
-      if (since === undefined) first.set(key, askedMs);
-    } else if (since !== undefined && askedMs > since) {
+    if (hasVersion) {
+      if (since === undefined) first.set(key, probedMs);
+    } else if (since !== undefined && probedMs > since) {
       violations.push({
         promise: "configuration never goes back",
-        what: `${gateway} had version ${version}, and ${
-          Math.round(askedMs - since)
-        } ms later had not`,
+        detail: `${gateway} had version ${version}, and ${
+          Math.round(probedMs - since)
+        } ms later lacked it`,
       });
     }
   }
--- a/soak/promise_checker_test.ts
+++ b/soak/promise_checker_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { streamBody, wholeBody } from "./answer_bodies.ts";
+import { responseBody, streamBody } from "./response_bodies.ts";
 import { BOUNDS, WARMUP } from "./soak_settings.ts";
 import {
   ATTEMPT,
@@ -22,31 +22,31 @@
   });
 
   it("should find a request that ran at an evacuated server", () => {
-    const saidMs = SENT_MS - BOUNDS.evacuationMs - 1;
-    soak.history.evacuations.push({ saidMs, takenBackMs: SENT_MS + 5_000 });
+    const orderedMs = SENT_MS - BOUNDS.evacuationMs - 1;
+    soak.history.evacuations.push({ orderedMs, liftedMs: SENT_MS + 5_000 });
     soak.called();
     soak.ran();
     assert.deepEqual(soak.broken(), ["evacuated servers"]);
   });
 
-  it("should allow a request while news of an evacuation are on their way, and after it", () => {
+  it("should allow a request while an evacuation order is being propagated, and after it is lifted", () => {
     soak.history.evacuations.push({
-      saidMs: SENT_MS - BOUNDS.evacuationMs + 100,
-      takenBackMs: SENT_MS + 5_000,
+      orderedMs: SENT_MS - BOUNDS.evacuationMs + 100,
+      liftedMs: SENT_MS + 5_000,
     });
     soak.history.evacuations.push({
-      saidMs: SENT_MS - 60_000,
-      takenBackMs: SENT_MS - 30_000,
+      orderedMs: SENT_MS - 60_000,
+      liftedMs: SENT_MS - 30_000,
     });
     soak.called();
     soak.ran();
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should find a cold server that gets more in a second than it may", () => {
+  it("should find a cold server that gets more requests in a second than allowed", () => {
     const { requestsPerSecond, overshoot, allowance } = WARMUP;
     const most = requestsPerSecond * overshoot + allowance;
-    soak.history.evacuations.push({ saidMs: 0, takenBackMs: SENT_MS });
+    soak.history.evacuations.push({ orderedMs: 0, liftedMs: SENT_MS });
     for (let n = 0; n < most; n++) soak.ran({ attempt: `a-${n}` });
     assert.deepEqual(soak.broken(), []);
     soak.ran({ attempt: "one more" });
@@ -66,8 +66,8 @@
     assert.deepEqual(soak.broken(), ["refusals are true"]);
   });
 
-  it("should find answers that are cut, or of another request", () => {
-    const body = wholeBody(ATTEMPT).slice(0, -1);
+  it("should find responses that are truncated or belong to another request", () => {
+    const body = responseBody(ATTEMPT).slice(0, -1);
     soak.called({ ending: { tag: "answered", status: 200, body } });
     soak.ran();
     assert.deepEqual(soak.broken(), ["whole answers"]);
@@ -81,36 +81,36 @@
   });
 
   it("should find a key that was removed long before, or was passed on", () => {
-    const takenMs = SENT_MS - BOUNDS.keyRemovalMs - 1;
+    const storedMs = SENT_MS - BOUNDS.keyRemovalMs - 1;
     soak.history.configurations.push(
-      { version: 1, takenMs: 0, keys: ["key"] },
-      { version: 2, takenMs, keys: [] },
+      { version: 1, storedMs: 0, keys: ["key"] },
+      { version: 2, storedMs, keys: [] },
     );
     soak.called();
-    soak.ran({ keyShown: true });
+    soak.ran({ keyForwarded: true });
     assert.deepEqual(soak.broken(), ["keys stay here", "removed keys"]);
   });
 
-  it("should not mind a key that was removed a moment ago", () => {
+  it("should ignore a key that was removed a moment ago", () => {
     soak.history.configurations.push(
-      { version: 1, takenMs: 0, keys: ["key"] },
-      { version: 2, takenMs: SENT_MS - 1_000, keys: [] },
+      { version: 1, storedMs: 0, keys: ["key"] },
+      { version: 2, storedMs: SENT_MS - 1_000, keys: [] },
     );
     soak.called();
     soak.ran();
     assert.deepEqual(soak.broken(), []);
   });
 
-  it("should find work for a server that left, unless the gateway had trouble", () => {
-    const saidMs = SENT_MS - BOUNDS.drainMs - 1;
-    soak.history.leavings.push({ server: "s-1", saidMs });
+  it("should find a request at a drained server, unless the gateway had a fault", () => {
+    const announcedMs = SENT_MS - BOUNDS.drainMs - 1;
+    soak.history.drainingServers.push({ server: "s-1", announcedMs });
     soak.called();
     soak.ran();
     assert.deepEqual(soak.broken(), ["leaving servers"]);
-    soak.history.troubles.push({
+    soak.history.faultWindows.push({
       name: "pause",
-      victim: GATEWAY,
-      fromMs: saidMs,
+      target: GATEWAY,
+      fromMs: announcedMs,
       untilMs: SENT_MS,
     });
     assert.deepEqual(soak.broken(), []);
@@ -123,13 +123,13 @@
     assert.deepEqual(soak.broken(), ["planned stops"]);
   });
 
-  it("should find a configuration that goes back within a life", () => {
-    const shown = { gateway: GATEWAY, version: 2, life: 1 };
-    soak.history.shownVersions.push(
-      { ...shown, askedMs: 1, shown: false },
-      { ...shown, askedMs: 2, shown: true },
-      { ...shown, askedMs: 3, shown: false },
-      { ...shown, life: 2, askedMs: 4, shown: false },
+  it("should find a configuration that goes back within one incarnation", () => {
+    const shown = { gateway: GATEWAY, version: 2, incarnation: 1 };
+    soak.history.versionProbes.push(
+      { ...shown, probedMs: 1, hasVersion: false },
+      { ...shown, probedMs: 2, hasVersion: true },
+      { ...shown, probedMs: 3, hasVersion: false },
+      { ...shown, incarnation: 2, probedMs: 4, hasVersion: false },
     );
     assert.deepEqual(soak.broken(), ["configuration never goes back"]);
   });
--- a/soak/rejecting_service.ts
+++ b/soak/rejecting_service.ts
@@ -1,4 +1,4 @@
-/** A service whose servers reject every request, so that all of its requests are retried. */
+/** A service whose servers reject every request, so that all requests are retried. */
 
 import { performance } from "node:perf_hooks";
 import { request } from "undici";
@@ -6,16 +6,16 @@
 import type { RetryHistory } from "../tests/fixtures/retry_count.ts";
 import { RetryRecorder } from "../tests/fixtures/retry_recorder.ts";
 import { RetryServer } from "../tests/fixtures/retry_server.ts";
-import type { Draw } from "./draw.ts";
+import type { SeededRandom } from "./seeded_random.ts";
 import type { SoakGateway } from "./soak_gateway.ts";
 import { HOST, REJECTED_PATH, REJECTING_SERVICE } from "./soak_settings.ts";
 import type { SoakStore } from "./soak_store.ts";
 
 const SERVERS = 4;
-/** Time between two requests of its callers, in milliseconds. */
+/** Time between two requests, in milliseconds. */
 const INTERVAL_MS = 25;
-/** Longest that a caller waits, in milliseconds. */
-const WAIT_MS = 2_000;
+/** Time-out of callers, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 2_000;
 
 /** Servers and callers of the service. */
 export class RejectingService {
@@ -27,36 +27,39 @@
   );
   #sent = 0;
 
-  /** What callers have sent, and which retries have come to its servers. */
+  /** Requests that callers sent, and retries that reached the servers. */
   get history(): RetryHistory {
     return this.#recorder.history;
   }
 
-  /** Starts the servers and writes them down. */
+  /** Starts and registers the servers. */
   async start(store: SoakStore): Promise<void> {
-    for (const [at, server] of this.#servers.entries()) {
+    for (const [index, server] of this.#servers.entries()) {
       const address = await server.listen();
-      store.list({ name: `rejecting-${at}` }, address, REJECTING_SERVICE);
+      store.register(
+        { name: `rejecting-${index}` },
+        address,
+        REJECTING_SERVICE,
+      );
     }
   }
 
-  /** Sends requests at a steady rate, to gateways that are down as well. */
+  /** Sends requests at a constant rate, also to gateways that are down. */
   async run(
-    { gateways, draw, stopped }: {
+    { gateways, random, stopped }: {
       gateways: readonly SoakGateway[];
-      draw: Draw;
+      random: SeededRandom;
       stopped: () => boolean;
     },
   ): Promise<void> {
     let dueMs = performance.now();
     while (!stopped()) {
-      void this.#call(draw.one(gateways));
+      void this.#call(random.pick(gateways));
       dueMs += INTERVAL_MS;
       await pause(Math.max(0, dueMs - performance.now()));
     }
   }
 
-  /** Ends the servers. */
   async close(): Promise<void> {
     await Promise.all(this.#servers.map((server) => server.close()));
   }
@@ -69,13 +72,13 @@
         headers: {
           host: HOST,
           "fieldrack-attempt-id": `${name}-rejected-${this.#sent}`,
-          "fieldrack-deadline-ms": String(WAIT_MS),
+          "fieldrack-deadline-ms": String(REQUEST_TIMEOUT_MS),
         },
-        signal: AbortSignal.timeout(WAIT_MS),
+        signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
       });
       await res.body.dump();
     } catch {
-      // What callers get does not matter here: servers tell what was sent to them.
+      // Callers' results do not matter: servers record the requests that reach them.
     }
   }
 }
--- a/soak/retry_check.ts
+++ b/soak/retry_check.ts
@@ -1,27 +1,29 @@
-/** Checks that servers get no more retries from all gateways together than are allowed. */
+/** Checks that all gateways together send servers no more retries than allowed. */
 
 import { worstRetryWindow } from "../tests/fixtures/retry_count.ts";
 import type { History } from "./history.ts";
 import type { Violation } from "./violation.ts";
 
-/** No trouble excuses a gateway: neither restarts nor kills, freezes or cuts. */
+/** No fault excuses a gateway: neither restarts nor kills, freezes or disconnections. */
 export function checkRetries(history: History): Violation[] {
   const served = {
-    sentMs: [...history.callers, ...history.poisonCallers]
+    sentMs: [...history.requests, ...history.poisonRequests]
       .map(({ sentMs }) => sentMs)
       .sort((a, b) => a - b),
-    retriesMs: retriesOf(history),
+    retriesMs: retryArrivalsMs(history),
   };
   return [served, history.rejected].flatMap((service) => {
     const { retries, allowed } = worstRetryWindow(service);
     if (retries <= allowed) return [];
-    const what = `${retries} in a window, ${Math.floor(allowed)} allowed`;
-    return [{ promise: "retries of all gateways", what }];
+    const detail = `${retries} retries in a window, ${
+      Math.floor(allowed)
+    } allowed`;
+    return [{ promise: "retries of all gateways", detail }];
   });
 }
 
-/** When requests arrived at servers that had arrived at one before. */
-function retriesOf({ arrivals }: History): number[] {
+/** Arrival times of requests that had reached a server before. */
+function retryArrivalsMs({ arrivals }: History): number[] {
   const arrived = new Set<string>();
   return arrivals.flatMap(({ attempt, atMs }) => {
     if (arrived.has(attempt)) return [atMs];
--- a/soak/retry_check_test.ts
+++ b/soak/retry_check_test.ts
@@ -21,25 +21,25 @@
   soak.history.arrivals.push({ attempt: `a-${request}`, atMs });
 }
 
-/** Retries that arrive one after the other, each of another request than the last. */
+/** Records successive retries, each of a different request than the one before. */
 function retry(count: number, fromMs: number): void {
   for (let n = 0; n < count; n++) arrive(n % REQUESTS, fromMs + n);
 }
 
 describe("check of the retries of all gateways", () => {
-  it("should count arrivals beyond the first of each request, turned away or not", () => {
+  it("should count all arrivals of a request after its first, rejected or not", () => {
     retry(ALLOWED, SENT_MS + 1_000);
     assert.equal(soak.broken().includes(PROMISE), false);
     retry(1, SENT_MS + 2_000);
     assert.ok(soak.broken().includes(PROMISE));
   });
 
-  it("should let requests of the window before pay for retries as well", () => {
+  it("should let requests of the previous window allow retries as well", () => {
     retry(ALLOWED, SENT_MS + RETRY_BOUND.windowMs - 1_000);
     assert.equal(soak.broken().includes(PROMISE), false);
   });
 
-  it("should let older requests pay for no retries", () => {
+  it("should not let older requests allow retries", () => {
     retry(ALLOWED, SENT_MS + 3 * RETRY_BOUND.windowMs);
     assert.ok(soak.broken().includes(PROMISE));
   });
--- a/soak/soak_caller.ts
+++ b/soak/soak_caller.ts
@@ -1,32 +1,31 @@
-/** A caller that sends one request after the other, and notes what it got. */
+/** A caller that sends requests one after the other and records how they ended. */
 
 import { performance } from "node:perf_hooks";
 import { Agent, request } from "undici";
 import { pause } from "../src/runtime/pause.ts";
-import type { Draw } from "./draw.ts";
-import type { CallerRecord, Ending, History, RequestKind } from "./history.ts";
+import type { SeededRandom } from "./seeded_random.ts";
+import type { Ending, History, RequestKind, RequestRecord } from "./history.ts";
 import type { SoakGateway } from "./soak_gateway.ts";
 import { HOST } from "./soak_settings.ts";
 
 const KINDS: readonly RequestKind[] = ["once", "repeatable", "stream"];
 const CONNECT_TIMEOUT_MS = 500;
-/** Longest that a caller waits; it tells the gateway so. */
-const WAIT_MS = 3_000;
-const NOT_CONNECTED: ReadonlySet<unknown> = new Set([
+/** Time-out of a request, which the caller also sends to the gateway as the deadline. */
+const REQUEST_TIMEOUT_MS = 3_000;
+const CONNECT_ERROR_CODES: ReadonlySet<unknown> = new Set([
   "ECONNREFUSED",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** What callers work with. */
 export interface CallerOptions {
   readonly history: History;
   readonly gateways: readonly SoakGateway[];
-  readonly draw: Draw;
-  /** Keys that callers use; some may have been removed. */
+  readonly random: SeededRandom;
+  /** Keys that callers use, some of which may have been removed. */
   readonly keys: () => readonly string[];
 }
 
-/** One caller; it keeps its connections open for as long as the gateways do. */
+/** One caller, which keeps its connections open as long as the gateways do. */
 export class SoakCaller {
   readonly #name: string;
   readonly #options: CallerOptions;
@@ -42,38 +41,37 @@
     this.#options = options;
   }
 
-  /** Sends requests until it is told to stop. */
+  /** Sends requests until it is stopped. */
   async run(stopped: () => boolean): Promise<void> {
-    const { draw, gateways } = this.#options;
+    const { random, gateways } = this.#options;
     while (!stopped()) {
-      await this.call(draw.one(gateways), draw.one(KINDS));
-      await pause(draw.whole(0, 60));
+      await this.call(random.pick(gateways), random.pick(KINDS));
+      await pause(random.integer(0, 60));
     }
   }
 
-  /** Sends one request; notes and returns what became of it. */
-  async call(gateway: SoakGateway, kind: RequestKind): Promise<CallerRecord> {
-    const { history, draw, keys } = this.#options;
+  /** Sends one request, then records and returns how it ended. */
+  async call(gateway: SoakGateway, kind: RequestKind): Promise<RequestRecord> {
+    const { history, random, keys } = this.#options;
     this.#sent += 1;
     const attempt = `${this.#name}-${this.#sent}`;
-    const key = draw.one(keys());
+    const key = random.pick(keys());
     const sentMs = performance.now();
     const ending = await this.#send(gateway, { attempt, kind, key });
     const endMs = performance.now();
     const { name } = gateway;
     const record = { attempt, kind, gateway: name, key, sentMs, endMs, ending };
-    history.callers.push(record);
+    history.requests.push(record);
     return record;
   }
 
-  /** Ends all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
   async #send(
     { callers }: SoakGateway,
-    { attempt, kind, key }: Pick<CallerRecord, "attempt" | "kind" | "key">,
+    { attempt, kind, key }: Pick<RequestRecord, "attempt" | "kind" | "key">,
   ): Promise<Ending> {
     let begun = false;
     try {
@@ -83,19 +81,19 @@
           host: HOST,
           authorization: `Bearer ${key}`,
           "fieldrack-attempt-id": attempt,
-          "fieldrack-deadline-ms": String(WAIT_MS),
+          "fieldrack-deadline-ms": String(REQUEST_TIMEOUT_MS),
         },
         body: kind === "once" ? "a body" : undefined,
         dispatcher: this.#agent,
-        headersTimeout: 2 * WAIT_MS,
-        bodyTimeout: 2 * WAIT_MS,
+        headersTimeout: 2 * REQUEST_TIMEOUT_MS,
+        bodyTimeout: 2 * REQUEST_TIMEOUT_MS,
       });
       begun = true;
       const body = await res.body.text();
       return { tag: "answered", status: res.statusCode, body };
     } catch (err) {
       const { code } = err as NodeJS.ErrnoException;
-      if (NOT_CONNECTED.has(code)) return { tag: "not_connected" };
+      if (CONNECT_ERROR_CODES.has(code)) return { tag: "not_connected" };
       return { tag: "cut", begun };
     }
   }
--- a/soak/soak_gateway.ts
+++ b/soak/soak_gateway.ts
@@ -1,4 +1,4 @@
-/** One gateway as a process of its own, with a proxy between it and the store. */
+/** A gateway in its own process, with a proxy between it and the store. */
 
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
@@ -17,22 +17,22 @@
 const PROGRAM = "dist/fieldrack.cjs";
 const MS_PER_SECOND = 1_000;
 
-/** Where a gateway listens. */
+/** Ports that a gateway listens on. */
 interface Ports {
   readonly callers: number;
   readonly peers: number;
 }
 
-/** What all gateways of a run share. */
+/** Options that all gateways of a run share. */
 export interface GatewayOptions {
   /** Folder for settings and logs. */
   readonly folder: string;
   readonly store: string;
-  /** First three numbers of the gateways' addresses. */
+  /** First three octets of the gateways' IP addresses. */
   readonly network: string;
 }
 
-/** A gateway that is started again whenever it has ended. */
+/** A gateway process that is restarted whenever it exits. */
 export class SoakGateway {
   readonly name: GatewayName;
   readonly ip: string;
@@ -40,18 +40,18 @@
   readonly #options: GatewayOptions;
   #ports: Ports = { callers: 0, peers: 0 };
   #child: ChildProcess | undefined;
-  #life = 0;
+  #incarnation = 0;
   #stopped = false;
 
-  constructor(at: number, options: GatewayOptions) {
-    this.name = `vm-${at}` as GatewayName;
-    this.ip = `${options.network}.${at + 1}`;
+  constructor(index: number, options: GatewayOptions) {
+    this.name = `vm-${index}` as GatewayName;
+    this.ip = `${options.network}.${index + 1}`;
     this.#options = options;
   }
 
-  /** Number of the process's start. */
-  get life(): number {
-    return this.#life;
+  /** Number of times that the process was started. */
+  get incarnation(): number {
+    return this.#incarnation;
   }
 
   /** Address for callers. */
@@ -64,12 +64,14 @@
     return `${this.ip}:${this.#ports.peers}`;
   }
 
-  /** Finds ports; all gateways must have done so before one is started. */
+  /** Allocates ports; must be called for all gateways before the first one is started. */
   async prepare(): Promise<void> {
     this.#ports = { callers: await freePort(), peers: await freePort() };
   }
 
-  /** Starts the process, and keeps it running; `store` stands in for that of the options. */
+  /**
+   * Starts the process and keeps it running; `store` overrides the store address of the options.
+   */
   async start(
     seeds: readonly string[],
     store = this.#options.store,
@@ -81,26 +83,26 @@
     this.#spawn();
   }
 
-  /** Sends a signal to the process, if it runs. */
+  /** Sends a signal to the process if it is running. */
   signal(name: NodeJS.Signals): void {
-    if (!this.#hasEnded()) this.#child?.kill(name);
+    if (!this.#hasExited()) this.#child?.kill(name);
   }
 
-  /** Waits until the process has ended; one that does not end in time is killed. */
-  async ended(limitMs: number): Promise<void> {
+  /** Waits until the process has exited; kills it after the time-out. */
+  async waitForExit(timeoutMs: number): Promise<void> {
     const child = this.#child;
-    const untilMs = performance.now() + limitMs;
-    while (child === this.#child && !this.#hasEnded()) {
+    const untilMs = performance.now() + timeoutMs;
+    while (child === this.#child && !this.#hasExited()) {
       if (performance.now() > untilMs) this.signal("SIGKILL");
       await pause(20);
     }
   }
 
-  /** Ends for good. */
+  /** Stops the process and does not restart it. */
   async stop(): Promise<void> {
     this.#stopped = true;
     const child = this.#child;
-    if (child !== undefined && !this.#hasEnded()) {
+    if (child !== undefined && !this.#hasExited()) {
       const exited = once(child, "exit");
       child.kill("SIGCONT");
       child.kill("SIGKILL");
@@ -113,14 +115,14 @@
     return `${this.#options.folder}/${this.name}.yaml`;
   }
 
-  #hasEnded(): boolean {
+  #hasExited(): boolean {
     const child = this.#child;
     return child === undefined || child.exitCode !== null ||
       child.signalCode !== null;
   }
 
   #spawn(): void {
-    this.#life += 1;
+    this.#incarnation += 1;
     const log = createWriteStream(`${this.#options.folder}/${this.name}.log`, {
       flags: "a",
     });
@@ -138,8 +140,8 @@
     this.#child = child;
   }
 
-  #restart(ended: ChildProcess): void {
-    if (!this.#stopped && this.#child === ended) this.#spawn();
+  #restart(exited: ChildProcess): void {
+    if (!this.#stopped && this.#child === exited) this.#spawn();
   }
 
   #settings(seeds: readonly string[], store: string): object {
@@ -166,5 +168,5 @@
   }
 }
 
-/** Pause before a process that has ended is started again. */
+/** Delay before an exited process is started again. */
 const RESTART_MS = 300;
--- a/soak/soak_run.ts
+++ b/soak/soak_run.ts
@@ -1,20 +1,20 @@
-/** One run of the soak: a fleet of processes, callers, faults by a seed, and checks. */
+/** One run of the soak test: gateway processes, servers, callers, seeded faults and checks. */
 
 import process from "node:process";
 import { pause } from "../src/runtime/pause.ts";
-import { Draw } from "./draw.ts";
+import { SeededRandom } from "./seeded_random.ts";
 import { FaultInjector, type Fleet } from "./fault_injector.ts";
 import {
-  planBrokenAnswers,
-  planCalmChanges,
+  planAbortedResponses,
   planEvacuation,
+  planFaultFreeChanges,
   planFaults,
+  planKeyRemovalDuringOutage,
   planLimits,
   type PlannedFault,
-  planNotices,
   planPoison,
   planRestarts,
-  planUnseenRemoval,
+  planServerNotices,
 } from "./fault_plan.ts";
 import { History } from "./history.ts";
 import { checkPromises } from "./promise_checker.ts";
@@ -22,20 +22,20 @@
 import { RejectingService } from "./rejecting_service.ts";
 import { SoakCaller } from "./soak_caller.ts";
 import { SoakGateway } from "./soak_gateway.ts";
-import { CONTACT_MS, type SoakSize } from "./soak_settings.ts";
+import { MAX_DISCONNECTED_MS, type SoakSize } from "./soak_settings.ts";
 import { SoakStore } from "./soak_store.ts";
-import { shows, VersionWatch } from "./version_watch.ts";
+import { hasConfigurationVersion, VersionProber } from "./version_prober.ts";
 import type { Violation } from "./violation.ts";
 
-/** Longest wait for all gateways to serve, at the start and after the last fault. */
-const SERVE_LIMIT_MS = 20_000;
-const POLL_MS = 100;
-/** Time in which callers' last requests end. */
-const LAST_REQUESTS_MS = 7_000;
-/** Numbers of loopback networks that follow each other. */
-const NETWORKS = 250;
+/** Maximum wait for all gateways to serve, at the start and after the last fault. */
+const READY_TIMEOUT_MS = 20_000;
+const POLL_INTERVAL_MS = 100;
+/** Time for the last requests of callers to end. */
+const REQUEST_DRAIN_MS = 7_000;
+/** Loopback networks are numbered modulo this in each of two octets. */
+const NETWORK_COUNT = 250;
 
-/** What came of a run. */
+/** Outcome of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly requests: number;
@@ -44,29 +44,29 @@
   readonly violations: readonly Violation[];
 }
 
-/** Runs one seed. */
+/** Plays one seed. */
 export async function runSeed(
   seed: number,
   { size, folder }: { size: SoakSize; folder: string },
 ): Promise<SoakResult> {
   const history = new History();
   const store = new SoakStore(history);
-  const network = ownNetwork();
+  const network = loopbackNetwork();
   const options = { folder, network, store: await store.listen() };
   const gateways = Array.from(
     { length: size.gateways },
-    (_, at) => new SoakGateway(at, options),
+    (_, index) => new SoakGateway(index, options),
   );
   const rejecting = new RejectingService();
   const fleet: Fleet = { history, store, gateways, servers: [], rejecting };
   try {
-    const faults = await play(fleet, { seed, size });
+    const faults = await runPlan(fleet, { seed, size });
     history.rejected = rejecting.history;
-    const violations = [...checkPromises(history), ...unrecovered(fleet)];
-    const answered = history.callers.filter(({ ending }) =>
+    const violations = [...checkPromises(history), ...checkRecovery(fleet)];
+    const answered = history.requests.filter(({ ending }) =>
       ending.tag === "answered" && ending.status === 200
     ).length;
-    const requests = history.callers.length;
+    const requests = history.requests.length;
     return { seed, requests, answered, faults, violations };
   } finally {
     await Promise.all(gateways.map((gateway) => gateway.stop()));
@@ -76,20 +76,20 @@
   }
 }
 
-/** Loopback network of this process: gateways of two runs must not meet. */
-function ownNetwork(): string {
+/** Loopback network of this process; gateways of different runs must not reach each other. */
+function loopbackNetwork(): string {
   const { pid } = process;
-  const high = 1 + Math.floor(pid / NETWORKS) % NETWORKS;
-  return `127.${high}.${1 + pid % NETWORKS}`;
+  const high = 1 + Math.floor(pid / NETWORK_COUNT) % NETWORK_COUNT;
+  return `127.${high}.${1 + pid % NETWORK_COUNT}`;
 }
 
-async function play(
+async function runPlan(
   fleet: Fleet,
   { seed, size }: { seed: number; size: SoakSize },
 ): Promise<PlannedFault[]> {
   const { history, store, gateways, rejecting } = fleet;
-  const draw = new Draw(seed);
-  const plan = planFaults(draw, size);
+  const random = new SeededRandom(seed);
+  const plan = planFaults(random, size);
   const injector = new FaultInjector(fleet);
   store.configure();
   for (let at = 0; at < size.servers; at++) await injector.startServer(at);
@@ -97,71 +97,78 @@
   for (const gateway of gateways) await gateway.prepare();
   const seeds = gateways.slice(0, 2).map(({ peers }) => peers);
   for (const gateway of gateways) await gateway.start(seeds);
-  await untilAllServe(fleet);
+  await waitUntilAllServe(fleet);
   let stopped = false;
   const callers = Array.from(
     { length: size.callers },
-    (_, at) =>
-      new SoakCaller(`c${process.pid}-${seed}-${at}`, {
+    (_, index) =>
+      new SoakCaller(`c${process.pid}-${seed}-${index}`, {
         history,
         gateways,
-        draw: new Draw(seed + at + 1),
+        random: new SeededRandom(seed + index + 1),
         keys: () => store.usedKeys,
       }),
   );
-  const watch = new VersionWatch({ history, store, gateways });
-  const working = [...callers, watch].map((one) => one.run(() => stopped));
+  const prober = new VersionProber({ history, store, gateways });
+  const working = [...callers, prober].map((one) => one.run(() => stopped));
   working.push(
-    rejecting.run({ gateways, draw: new Draw(seed), stopped: () => stopped }),
+    rejecting.run({
+      gateways,
+      random: new SeededRandom(seed),
+      stopped: () => stopped,
+    }),
   );
   await injector.run(plan);
-  history.recovered = await untilAllServe(fleet);
-  // Limits of time hold only for gateways in touch, which they hardly are before this.
-  await pause(CONTACT_MS);
-  await injector.run(planCalmChanges(draw, size));
-  await injector.run(planBrokenAnswers(size));
-  await injector.run(planNotices(size));
-  await pause(CONTACT_MS);
+  history.recovered = await waitUntilAllServe(fleet);
+  // Time bounds only hold for connected gateways, and until now gateways may be disconnected.
+  await pause(MAX_DISCONNECTED_MS);
+  await injector.run(planFaultFreeChanges(random, size));
+  await injector.run(planAbortedResponses(size));
+  await injector.run(planServerNotices(size));
+  await pause(MAX_DISCONNECTED_MS);
   await injector.run(planLimits(size));
-  await pause(CONTACT_MS);
-  await injector.run(planUnseenRemoval());
-  await pause(CONTACT_MS);
+  await pause(MAX_DISCONNECTED_MS);
+  await injector.run(planKeyRemovalDuringOutage());
+  await pause(MAX_DISCONNECTED_MS);
   await injector.run(planEvacuation());
   const poison = new PoisonCaller(`p${process.pid}-${seed}`, {
     history,
     gateways,
-    draw: new Draw(seed),
+    random: new SeededRandom(seed),
     keys: () => store.usedKeys,
   });
   working.push(poison.run(() => stopped));
   await injector.run(planPoison(size));
-  await pause(CONTACT_MS);
+  await pause(MAX_DISCONNECTED_MS);
   await injector.run(planRestarts(size));
   stopped = true;
-  await Promise.race([Promise.all(working), pause(LAST_REQUESTS_MS)]);
+  await Promise.race([Promise.all(working), pause(REQUEST_DRAIN_MS)]);
   await Promise.all(callers.map((caller) => caller.close()));
   return plan;
 }
 
-/** Waits until all gateways have the newest configuration; returns those that have. */
-async function untilAllServe({ gateways, store }: Fleet) {
-  const untilMs = Date.now() + SERVE_LIMIT_MS;
+/** Waits until all gateways have the latest configuration; returns the names of those that do. */
+async function waitUntilAllServe({ gateways, store }: Fleet) {
+  const untilMs = Date.now() + READY_TIMEOUT_MS;
   for (;;) {
-    const shown = await Promise.all(
-      gateways.map((gateway) => shows(gateway, store.version)),
+    const hasLatest = await Promise.all(
+      gateways.map((gateway) =>
+        hasConfigurationVersion(gateway, store.version)
+      ),
     );
-    const serving = gateways.filter((_, at) => shown[at] === true);
+    const serving = gateways.filter((_, index) => hasLatest[index] === true);
     const all = serving.length === gateways.length;
     if (all || Date.now() > untilMs) return serving.map(({ name }) => name);
-    await pause(POLL_MS);
+    await pause(POLL_INTERVAL_MS);
   }
 }
 
-function unrecovered({ gateways, history }: Fleet): Violation[] {
+function checkRecovery({ gateways, history }: Fleet): Violation[] {
   return gateways
     .filter(({ name }) => !history.recovered.includes(name))
     .map(({ name }) => ({
       promise: "recovery",
-      what: `${name} did not serve ${SERVE_LIMIT_MS} ms after the last fault`,
+      detail:
+        `${name} did not serve within ${READY_TIMEOUT_MS} ms after the last fault`,
     }));
 }
--- a/soak/soak_server.ts
+++ b/soak/soak_server.ts
@@ -1,4 +1,4 @@
-/** A backend server that keeps what it has run, and misbehaves when it is told to. */
+/** A backend server that records what it runs and can be made to misbehave. */
 
 import { once } from "node:events";
 import {
@@ -10,61 +10,65 @@
 import type { AddressInfo } from "node:net";
 import { performance } from "node:perf_hooks";
 import { pause } from "../src/runtime/pause.ts";
-import { eventOf, EVENTS, wholeBody } from "./answer_bodies.ts";
+import {
+  EVENTS_PER_STREAM,
+  responseBody,
+  streamEvent,
+} from "./response_bodies.ts";
 import type { History, NoticeRecord, RunRecord } from "./history.ts";
 import {
+  BACKOFF_MS,
   MS_PER_SECOND,
   POISON_PATH,
-  REST_MS,
   SERVER_LIMIT_PER_S,
 } from "./soak_settings.ts";
 
 /** How a server behaves. */
 export type ServerMode =
   | "sound"
-  /** Runs requests and resets their connections in the middle of the answer. */
+  /** Runs requests and resets the connection in the middle of the response. */
   | "resets"
-  /** Runs requests and says nothing for long. */
+  /** Runs requests but sends no response for a long time. */
   | "silent"
-  /** Takes no requests, and says so. */
+  /** Rejects all requests as not processed. */
   | "full"
-  /** The same, and asks for rest. */
+  /** Rejects all requests as not processed and requests backoff. */
   | "rests"
-  /** Says in all answers that it leaves, while its entry goes on to say that it is ready. */
+  /** Advertises in all responses that it is draining, while its entry in the store stays ready. */
   | "leaves"
-  /** Serves, and names how much it takes from all gateways. */
+  /** Serves requests and advertises the rate limit that it accepts from all gateways. */
   | "limits"
-  /** Answers with the answer to another request. */
+  /** Responds with the response to another request. */
   | "crossed"
-  /** Ends answers before their end, without a reset. */
+  /** Closes the connection in the middle of the response, without a reset. */
   | "cuts"
-  /** Begins streams, and breaks all answers off after a while. */
+  /** Starts streams, and aborts all responses after a delay. */
   | "stalls";
 
-/** Time that a request takes, in milliseconds. */
-const WORK_MS = 15;
+/** Processing time of a request, in milliseconds. */
+const PROCESSING_MS = 15;
 /** Pause between events, in milliseconds. */
-const EVENT_MS = 8;
-/** Longer than a gateway waits for a silent server. */
-const SILENCE_MS = 4_000;
-/** Time for a gateway to take a new configuration over, before an answer is broken off. */
+const EVENT_INTERVAL_MS = 8;
+/** Longer than a gateway waits for a server that sends nothing. */
+const HANG_MS = 4_000;
+/** Time for a gateway to apply a new configuration before a response is aborted. */
 const STALL_MS = 300;
-/** Part of an answer after which it is broken off. */
-const BROKEN_AFTER = 1_000;
+/** Length of the part of a response that is sent before it is aborted. */
+const TRUNCATE_AFTER_BYTES = 1_000;
 
-/** One life of a backend server. */
+/** One incarnation of a backend server. */
 export class SoakServer {
   readonly name: string;
   readonly #history: History;
   readonly #server: Server;
   mode: ServerMode = "sound";
-  /** Called when a request ends the server. */
-  onPoisoned: () => void = () => {};
+  /** Called when a poison request crashes the server. */
+  onPoisonCrash: () => void = () => {};
 
   constructor(name: string, history: History) {
     this.name = name;
     this.#history = history;
-    this.#server = createServer((req, res) => void this.#answer(req, res));
+    this.#server = createServer((req, res) => void this.#handle(req, res));
   }
 
   /** Starts to listen on loopback; returns the address. */
@@ -74,18 +78,18 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Ends at once, as by a crash. */
+  /** Stops immediately, as in a crash. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  async #answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     res.on("error", () => res.destroy());
-    const attempt = headerOf(req, "fieldrack-attempt-id") ?? "";
+    const attempt = headerValue(req, "fieldrack-attempt-id") ?? "";
     res.setHeader("fieldrack-attempt-id", attempt);
     this.#history.arrivals.push({ attempt, atMs: performance.now() });
-    const expected = headerOf(req, "fieldrack-expect-instance");
+    const expected = headerValue(req, "fieldrack-expect-instance");
     if (expected !== undefined && expected !== this.name) {
       res.writeHead(421).end();
       return;
@@ -94,42 +98,42 @@
       res.writeHead(503, { "fieldrack-not-processed": "1" }).end();
       return;
     }
-    if (this.mode === "rests") return this.#turnAway(attempt, res);
+    if (this.mode === "rests") return this.#rejectWithBackoff(attempt, res);
     if (this.mode === "leaves") {
       res.setHeader("server-leaving", "1");
-      this.#history.leavingWords.push(this.#notice(attempt, 0));
+      this.#history.drainingNotices.push(this.#createNotice(attempt, 0));
     }
-    if (this.mode === "limits") this.#nameLimit(attempt, res);
+    if (this.mode === "limits") this.#advertiseLimit(attempt, res);
     const poison = req.url === POISON_PATH;
-    const run = this.#note(req, { attempt, poison });
+    const run = this.#recordRun(req, { attempt, poison });
     res.setHeader("fieldrack-server-seal", this.name);
-    await pause(WORK_MS);
+    await pause(PROCESSING_MS);
     const isStream = req.url?.startsWith("/stream/") ?? false;
-    if (await this.#misbehaves(run, { res, isStream })) return;
+    if (await this.#applyMode(run, { res, isStream })) return;
     if (isStream) await this.#stream(req, res, run);
-    else res.end(wholeBody(attempt));
+    else res.end(responseBody(attempt));
   }
 
-  #turnAway(attempt: string, res: ServerResponse): void {
-    this.#history.rests.push(this.#notice(attempt, REST_MS));
+  #rejectWithBackoff(attempt: string, res: ServerResponse): void {
+    this.#history.backoffNotices.push(this.#createNotice(attempt, BACKOFF_MS));
     res.writeHead(503, {
       "fieldrack-not-processed": "1",
-      "retry-after": String(REST_MS / MS_PER_SECOND),
+      "retry-after": String(BACKOFF_MS / MS_PER_SECOND),
     }).end();
   }
 
-  #nameLimit(attempt: string, res: ServerResponse): void {
+  #advertiseLimit(attempt: string, res: ServerResponse): void {
     res.setHeader("server-limit", String(SERVER_LIMIT_PER_S));
     const atMs = performance.now();
-    this.#history.limits.push({ server: this.name, attempt, atMs });
+    this.#history.limitNotices.push({ server: this.name, attempt, atMs });
   }
 
-  #notice(attempt: string, restMs: number): NoticeRecord {
+  #createNotice(attempt: string, backoffMs: number): NoticeRecord {
     const atMs = performance.now();
-    return { server: this.name, attempt, atMs, restMs };
+    return { server: this.name, attempt, atMs, backoffMs };
   }
 
-  #note(
+  #recordRun(
     req: IncomingMessage,
     { attempt, poison }: { attempt: string; poison: boolean },
   ): RunRecord {
@@ -137,47 +141,47 @@
       attempt,
       server: this.name,
       atMs: performance.now(),
-      account: headerOf(req, "fieldrack-tenant"),
-      keyShown: req.headers.authorization !== undefined,
-      broken: poison,
+      account: headerValue(req, "fieldrack-tenant"),
+      keyForwarded: req.headers.authorization !== undefined,
+      incomplete: poison,
       poison,
     };
     this.#history.runs.push(run);
     return run;
   }
 
-  /** Does what the mode asks for; returns whether there is nothing more to answer. */
-  async #misbehaves(
+  /** Applies the mode to a request; returns whether the request has been handled. */
+  async #applyMode(
     run: RunRecord,
     { res, isStream }: { res: ServerResponse; isStream: boolean },
   ): Promise<boolean> {
-    const body = wholeBody(run.attempt);
+    const body = responseBody(run.attempt);
     switch (this.mode) {
       case "resets":
-        run.broken = true;
+        run.incomplete = true;
         res.writeHead(200, { "content-length": body.length });
-        res.write(body.slice(0, BROKEN_AFTER));
-        setTimeout(() => res.socket?.resetAndDestroy(), WORK_MS);
+        res.write(body.slice(0, TRUNCATE_AFTER_BYTES));
+        setTimeout(() => res.socket?.resetAndDestroy(), PROCESSING_MS);
         return true;
       case "cuts":
-        run.broken = true;
+        run.incomplete = true;
         res.writeHead(200, { "content-length": body.length });
-        res.write(body.slice(0, BROKEN_AFTER));
-        setTimeout(() => res.destroy(), WORK_MS);
+        res.write(body.slice(0, TRUNCATE_AFTER_BYTES));
+        setTimeout(() => res.destroy(), PROCESSING_MS);
         return true;
       case "crossed":
-        run.broken = true;
+        run.incomplete = true;
         res.setHeader("fieldrack-attempt-id", "another");
-        res.end(wholeBody("another"));
+        res.end(responseBody("another"));
         return true;
       case "silent":
-        run.broken = true;
-        await pause(SILENCE_MS);
+        run.incomplete = true;
+        await pause(HANG_MS);
         res.destroy();
         return true;
       case "stalls":
         if (isStream) return false;
-        run.broken = true;
+        run.incomplete = true;
         await pause(STALL_MS);
         res.socket?.resetAndDestroy();
         return true;
@@ -192,38 +196,40 @@
     run: RunRecord,
   ): Promise<void> {
     res.setHeader("content-type", "text/event-stream");
-    const after = Number(headerOf(req, "last-event-id") ?? 0);
-    for (let event = after + 1; event <= EVENTS; event++) {
-      if (run.poison && event > after + 1) return this.#poisoned();
-      if (await this.#breaksOff(event)) {
-        run.broken = true;
-        res.write(eventOf(run.attempt, event).slice(0, -4));
+    const after = Number(headerValue(req, "last-event-id") ?? 0);
+    for (let event = after + 1; event <= EVENTS_PER_STREAM; event++) {
+      if (run.poison && event > after + 1) return this.#crashByPoison();
+      if (await this.#abortsAtEvent(event)) {
+        run.incomplete = true;
+        res.write(streamEvent(run.attempt, event).slice(0, -4));
         res.socket?.resetAndDestroy();
         return;
       }
-      res.write(eventOf(run.attempt, event));
-      await pause(EVENT_MS);
+      res.write(streamEvent(run.attempt, event));
+      await pause(EVENT_INTERVAL_MS);
     }
     res.end();
   }
 
-  #poisoned(): void {
+  #crashByPoison(): void {
     const atMs = performance.now();
-    this.#history.poisonedServers.push({ server: this.name, atMs });
-    this.onPoisoned();
+    this.#history.poisonCrashes.push({ server: this.name, atMs });
+    this.onPoisonCrash();
   }
 
-  /** Whether a stream ends with a part of this event; one that stalls keeps its caller waiting. */
-  async #breaksOff(event: number): Promise<boolean> {
+  /**
+   * Whether a stream is aborted in the middle of this event; in mode `stalls` only after a delay.
+   */
+  async #abortsAtEvent(event: number): Promise<boolean> {
     if (this.mode === "leaves" || this.mode === "limits") return false;
     if (this.mode !== "stalls") return this.mode !== "sound";
-    if (event < EVENTS) return false;
+    if (event < EVENTS_PER_STREAM) return false;
     await pause(STALL_MS);
     return true;
   }
 }
 
-function headerOf(req: IncomingMessage, name: string): string | undefined {
+function headerValue(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
--- a/soak/soak_settings.ts
+++ b/soak/soak_settings.ts
@@ -1,6 +1,6 @@
-/** Time limits of the soak's deployment, and how large it is. */
+/** Time bounds of the soak test's deployment, and its size. */
 
-/** Bounds that the gateways are told and the checks hold them to, in milliseconds. */
+/** Bounds that the gateways are configured with and the checks enforce, in milliseconds. */
 export const BOUNDS = {
   configurationApplyMs: 2_000,
   keyRemovalMs: 3_000,
@@ -10,54 +10,54 @@
 } as const;
 
 /**
- * Time after trouble during which a gateway is not held to limits of time: as long as the
- * users allow it to be out of touch.
+ * Time after a fault during which time bounds do not apply to a gateway: the longest time that the
+ * users allow a gateway to be disconnected.
  */
-export const CONTACT_MS = 3_000;
+export const MAX_DISCONNECTED_MS = 3_000;
 
-/** What the routes of callers allow one request. */
+/** Limits that the routes set for one request. */
 export const ROUTE = {
-  /** Runs on servers, where the request may be repeated. */
+  /** Maximum runs on servers, for requests that may be repeated. */
   maxRuns: 3,
-  /** Time until its answer must have ended, in milliseconds. */
+  /** Time within which the response must have ended, in milliseconds. */
   timeLimitMs: 3_000,
 } as const;
 
-/** How servers begin that are given work again after an evacuation. */
+/** Slow start of servers that get requests again after an evacuation. */
 export const WARMUP = {
   durationS: 1,
   requestsPerSecond: 10,
-  /** Times as many as they bear, and so many more, that all gateways may send in a second. */
+  /** All gateways together may send `overshoot` times the rate plus `allowance` in a second. */
   overshoot: 1.5,
   allowance: 5,
 } as const;
 
-/** What one run consists of. */
+/** Size of one run. */
 export interface SoakSize {
   readonly gateways: number;
   readonly servers: number;
   readonly callers: number;
-  /** Time with faults, in milliseconds. */
+  /** Duration of the phase with drawn faults, in milliseconds. */
   readonly runMs: number;
 }
 
 /** Host of all routes. */
 export const HOST = "soak.example";
-/** Path of the request that ends each server that begins to run it. */
+/** Path of the poison request, which crashes each server that starts to run it. */
 export const POISON_PATH = "/stream/poison";
-/** Servers that may end under it. */
-export const POISON_LIMIT = 3;
-/** Name of the one client account. */
+/** Number of servers that a poison request may crash before gateways must block it. */
+export const MAX_POISON_CRASHES = 3;
+/** Name of the only client account. */
 export const ACCOUNT = "garden";
-/** The service that serves. */
+/** Name of the service whose servers run requests. */
 export const SERVICE = "model";
 /** The service whose servers reject every request, and the path of its route. */
 export const REJECTING_SERVICE = "rejecting";
 export const REJECTED_PATH = "/rejected/";
-/** Rest that a server asks for, in milliseconds. */
-export const REST_MS = 1_500;
-/** Time for what is on its way to a server as it asks for rest, as the users allow it. */
-export const ON_ITS_WAY_MS = 500;
-/** Requests a second that a server takes that names a limit. */
+/** Backoff that a server requests, in milliseconds. */
+export const BACKOFF_MS = 1_500;
+/** Time that the users allow for requests in flight when a server requests backoff. */
+export const IN_FLIGHT_GRACE_MS = 500;
+/** Rate limit that a server advertises, in requests per second. */
 export const SERVER_LIMIT_PER_S = 2;
 export const MS_PER_SECOND = 1_000;
--- a/soak/soak_store.ts
+++ b/soak/soak_store.ts
@@ -1,4 +1,4 @@
-/** What operators and servers write to the store, and how the store misbehaves. */
+/** Writes of operators and servers to the store, and faults of the store. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -17,18 +17,18 @@
   WARMUP,
 } from "./soak_settings.ts";
 
-/** Removed keys that callers still try. */
-const REMOVED_KEYS_USED = 1;
+/** Number of removed keys that callers still use. */
+const REMOVED_KEYS_IN_USE = 1;
 
-/** Where all servers stand. */
+/** Data centre of all servers. */
 const DATA_CENTRE = "north";
 
-/** Path of the route that only one version has. */
+/** Path of the route that identifies a configuration version. */
 export function versionPath(version: number): string {
   return `/version-${version}/`;
 }
 
-/** The store and what stands in it. */
+/** The store and its contents. */
 export class SoakStore {
   readonly #store = new ObjectStoreStandin();
   readonly #history: History;
@@ -43,14 +43,14 @@
     this.#history = history;
   }
 
-  /** Version that was written last. */
+  /** Version of the last written configuration. */
   get version(): number {
     return this.#version;
   }
 
-  /** Keys that callers use: those that are valid, and those removed last. */
+  /** Keys that callers use: the valid ones, and those removed last. */
   get usedKeys(): readonly string[] {
-    return [...this.#keys, ...this.#removedKeys.slice(-REMOVED_KEYS_USED)];
+    return [...this.#keys, ...this.#removedKeys.slice(-REMOVED_KEYS_IN_USE)];
   }
 
   /** Starts to listen; returns the address. */
@@ -58,12 +58,11 @@
     return this.#store.listen();
   }
 
-  /** Ends all connections. */
   close(): Promise<void> {
     return this.#store.close();
   }
 
-  /** Writes the next version, with a route that no other has. */
+  /** Writes the next configuration version, with a route of its own. */
   configure(): void {
     this.#version += 1;
     const route = {
@@ -117,12 +116,12 @@
     });
     this.#history.configurations.push({
       version: this.#version,
-      takenMs: performance.now(),
+      storedMs: performance.now(),
       keys: this.#keys,
     });
   }
 
-  /** Takes the oldest key away and adds a new one. */
+  /** Removes the oldest key and adds a new one. */
   removeKey(): void {
     this.#keyNumber += 1;
     this.#removedKeys.push(...this.#keys.slice(0, 1));
@@ -130,8 +129,8 @@
     this.configure();
   }
 
-  /** Writes a server down, as it does itself. */
-  list(
+  /** Writes a server's entry, as the server itself would. */
+  register(
     server: { readonly name: string },
     address: string,
     service = SERVICE,
@@ -148,63 +147,66 @@
     this.#store.kinds.put("servers", { name: server.name, spec });
   }
 
-  /** Orders that the servers' data centre gets nothing new. */
+  /** Orders that no new requests are sent to the servers' data centre. */
   evacuate(): void {
     this.#store.kinds.put("evacuations", { name: DATA_CENTRE, spec: {} });
-    const saidMs = performance.now();
-    this.#history.evacuations.push({ saidMs, takenBackMs: Infinity });
+    const orderedMs = performance.now();
+    this.#history.evacuations.push({ orderedMs, liftedMs: Infinity });
   }
 
-  /** Takes that order back; the servers are cold. */
-  takeBack(): void {
+  /** Lifts the evacuation; the servers are cold then. */
+  liftEvacuation(): void {
     const last = this.#history.evacuations.at(-1);
-    // Before, as news may come to a gateway faster than the call returns.
-    if (last !== undefined) last.takenBackMs = performance.now();
+    // Recorded before the call, as a gateway may receive the change before the call returns.
+    if (last !== undefined) last.liftedMs = performance.now();
     this.#store.kinds.remove("evacuations", DATA_CENTRE);
   }
 
-  /** Writes down that a server leaves. */
-  leave({ name }: SoakServer): void {
+  /** Marks a server as draining in its entry. */
+  drain({ name }: SoakServer): void {
     const spec = { ...this.#servers.get(name), State: "draining" };
     this.#store.kinds.put("servers", { name, spec });
-    const saidMs = performance.now();
-    this.#history.leavings.push({ server: name, saidMs });
+    const announcedMs = performance.now();
+    this.#history.drainingServers.push({
+      server: name,
+      announcedMs,
+    });
   }
 
-  /** Removes the entry of a server that has gone. */
-  unlist({ name }: SoakServer): void {
+  /** Removes the entry of a server that has ended. */
+  deregister({ name }: SoakServer): void {
     this.#servers.delete(name);
     this.#store.kinds.remove("servers", name);
   }
 
-  /** Lets all entries of servers lapse, as while the store is away. */
-  lapse(): void {
+  /** Removes the entries of all servers, as if they had expired while the store was down. */
+  expireServers(): void {
     for (const name of this.#servers.keys()) {
       this.#store.kinds.remove("servers", name);
     }
   }
 
-  /** Servers that live write themselves down again. */
-  relist(): void {
+  /** Writes the entries of all running servers again. */
+  reregisterServers(): void {
     for (const [name, spec] of this.#servers) {
       this.#store.kinds.put("servers", { name, spec });
     }
   }
 
-  /** Forgets its history, and ends all watches. */
-  forgetHistory(): void {
+  /** Discards the change history and ends all watches. */
+  discardHistory(): void {
     this.#store.kinds.forgetHistory();
     this.#store.kinds.releaseWatches();
   }
 
-  /** Begins a fault; it may overlap with others. */
-  begin(name: string, faults: StoreFaults): void {
+  /** Starts a fault, which may overlap with others. */
+  beginFault(name: string, faults: StoreFaults): void {
     this.#faults.set(name, faults);
     this.#setFaults();
   }
 
   /** Ends a fault. */
-  end(name: string): void {
+  endFault(name: string): void {
     this.#faults.delete(name);
     this.#setFaults();
   }
@@ -213,7 +215,7 @@
     this.#store.setFaults(Object.assign({}, ...this.#faults.values()));
   }
 
-  /** The newest version and the one before, so that requests may cross a change. */
+  /** Routes of the current and the previous version, so that requests may span a change. */
   #versionRoutes(route: object): object[] {
     return [this.#version - 1, this.#version].map((version) => ({
       ...route,
--- a/soak/violation.ts
+++ b/soak/violation.ts
@@ -1,51 +1,54 @@
-/** Promises that were broken, and what excuses a gateway. */
+/** Broken promises, and the faults and restarts that excuse a gateway. */
 
-import type { CallerRecord, History } from "./history.ts";
+import type { History, RequestRecord } from "./history.ts";
 import type { GatewayName } from "./ids.ts";
-import { BOUNDS, CONTACT_MS } from "./soak_settings.ts";
+import { BOUNDS, MAX_DISCONNECTED_MS } from "./soak_settings.ts";
 
 /** A promise that was broken. */
 export interface Violation {
   readonly promise: string;
-  readonly what: string;
+  readonly detail: string;
 }
 
-/** Whether a gateway, or all, had trouble in a span of time or shortly before it. */
-export function wasTroubled(
-  { troubles }: Pick<History, "troubles">,
-  { gateway, fromMs, untilMs, names }: {
+/**
+ * Whether a fault of this gateway, or of all gateways, was active in a time span or up to
+ * `MAX_DISCONNECTED_MS` before it.
+ */
+export function wasAffectedByFault(
+  { faultWindows }: Pick<History, "faultWindows">,
+  { gateway, fromMs, untilMs, faultTags }: {
     gateway: GatewayName;
     fromMs: number;
     untilMs: number;
-    /** Kinds of trouble that count; all where left out. */
-    names?: ReadonlySet<string>;
+    /** Faults that count; all if omitted. */
+    faultTags?: ReadonlySet<string>;
   },
 ): boolean {
-  return troubles.some((trouble) =>
-    (names?.has(trouble.name) ?? true) &&
-    (trouble.victim === "all" || trouble.victim === gateway) &&
-    trouble.fromMs <= untilMs && trouble.untilMs >= fromMs - CONTACT_MS
+  return faultWindows.some((window) =>
+    (faultTags?.has(window.name) ?? true) &&
+    (window.target === "all" || window.target === gateway) &&
+    window.fromMs <= untilMs && window.untilMs >= fromMs - MAX_DISCONNECTED_MS
   );
 }
 
-/** Names a request that broke a promise. */
-export function violation(
+/** Describes the violation of a promise by a request. */
+export function requestViolation(
   promise: string,
-  { attempt, kind, gateway, sentMs }: CallerRecord,
-  what: string,
+  { attempt, kind, gateway, sentMs }: RequestRecord,
+  detail: string,
 ): Violation {
   return {
     promise,
-    what: `${kind} ${attempt} by ${gateway} at ${
+    detail: `${kind} ${attempt} sent to ${gateway} at ${
       Math.round(sentMs)
-    } ms ${what}`,
+    } ms ${detail}`,
   };
 }
 
-/** Whether a request ended around a planned stop of its gateway. */
-export function isNextToPlannedStop(
+/** Whether a request ended during or shortly after a planned stop of its gateway. */
+export function endedDuringPlannedStop(
   { plannedStops }: History,
-  { gateway, endMs }: CallerRecord,
+  { gateway, endMs }: RequestRecord,
 ): boolean {
   return plannedStops.some((stop) =>
     stop.gateway === gateway && endMs >= stop.atMs &&
@@ -53,8 +56,8 @@
   );
 }
 
-/** A gateway that has started again since has forgotten what it heard. */
-export function wasStopped(
+/** Whether a gateway had a planned stop in a time span; a restart loses the received notices. */
+export function wasRestarted(
   { plannedStops }: History,
   { gateway, fromMs, untilMs }: {
     gateway: GatewayName;
