--- a/prove/configuration_checker.ts
+++ b/prove/configuration_checker.ts
@@ -1,151 +1,168 @@
-/** Reads a history and tells where it contradicts what is promised of configurations. */
+/** Checks a recorded history against the guarantees on configuration changes. */
 
 import type {
   AppliedEvent,
   ConfigurationHistory,
 } from "./configuration_history.ts";
 
-/** Within this long an accepted configuration must be in force everywhere. */
-export const IN_FORCE_WITHIN_MS = 9_000;
+/** Time within which an accepted configuration must be in effect on every entry. */
+export const MAX_PROPAGATION_MS = 9_000;
 
-/** What a content declares. */
-export interface Content {
-  /** The one version that is not withdrawn. */
+/** What varies between the configurations that a run applies. */
+export interface ConfigurationVariant {
+  /** The only version that is not withdrawn. */
   readonly version: string;
-  /** Whether the guarded model is allowed. */
+  /** Whether the client account may use the model `guarded`. */
   readonly guardedAllowed: boolean;
 }
 
-/** Returns a content by its number; neighbours differ in both respects at once. */
-export function contentOf(content: number): Content {
-  const even = content % 2 === 0;
+/** Returns the variant with the given number. Consecutive variants differ in both fields. */
+export function variantOf(variantNumber: number): ConfigurationVariant {
+  const even = variantNumber % 2 === 0;
   return { version: even ? "v1" : "v2", guardedAllowed: even };
 }
 
-/** Returns a line for each contradiction. */
+/** Returns one line for each violation. */
 export function checkConfigurationHistory(
   history: ConfigurationHistory,
 ): string[] {
-  const applied = history.of("applied").sort((a, b) => a.revision - b.revision);
+  const applied = history.eventsOfKind("applied").sort((a, b) =>
+    a.revision - b.revision
+  );
   return [
-    ...checkAcceptances(applied),
-    ...checkAnswers(history, applied),
-    ...checkOrder(history),
-    ...checkGuarded(history, applied),
+    ...checkUniqueRevisions(applied),
+    ...checkResponses(history, applied),
+    ...checkRevisionOrder(history),
+    ...checkGuardedModel(history, applied),
     ...checkWork(history, applied),
   ];
 }
 
-function checkAcceptances(applied: readonly AppliedEvent[]): string[] {
-  return applied.slice(1).flatMap((event, at) =>
-    event.revision === applied[at]?.revision
+function checkUniqueRevisions(applied: readonly AppliedEvent[]): string[] {
+  return applied.slice(1).flatMap((event, index) =>
+    event.revision === applied[index]?.revision
       ? [`Revision ${event.revision} was accepted twice`]
       : []
   );
 }
 
-/** Each answer is by the whole of one revision, and by none that should be gone. */
-function checkAnswers(
+/**
+ * Checks that each response follows exactly one revision, and that this revision was not yet
+ * required to be replaced.
+ */
+function checkResponses(
   history: ConfigurationHistory,
   applied: readonly AppliedEvent[],
 ): string[] {
   const byRevision = new Map(applied.map((event) => [event.revision, event]));
-  return history.of("answered").flatMap((answer) => {
-    const event = byRevision.get(answer.revision);
-    const who = `${answer.entry} answered by revision ${answer.revision}`;
-    if (event === undefined) return [`${who}, which nobody applied`];
-    const { version } = contentOf(event.content);
+  return history.eventsOfKind("answered").flatMap((response) => {
+    const event = byRevision.get(response.revision);
+    const prefix =
+      `${response.entry} responded according to revision ${response.revision}`;
+    if (event === undefined) return [`${prefix}, which was never applied`];
+    const { version } = variantOf(event.content);
     const problems: string[] = [];
-    if (version !== answer.version) {
-      problems.push(`${who}, but by version ${answer.version}`);
+    if (version !== response.version) {
+      problems.push(`${prefix}, but with version ${response.version}`);
     }
-    const newest = newestInForce(applied, answer.invokedMs);
-    if (newest !== undefined && answer.revision < newest) {
-      problems.push(`${who}, though ${newest} had to be in force`);
+    const newest = newestRequiredRevision(applied, response.invokedMs);
+    if (newest !== undefined && response.revision < newest) {
+      problems.push(
+        `${prefix}, though revision ${newest} must have been in effect`,
+      );
     }
     return problems;
   });
 }
 
-/** On one entry no later request is decided by an earlier revision. */
-function checkOrder(history: ConfigurationHistory): string[] {
-  const answers = history.of("answered").sort((a, b) =>
+/** Checks that the revision which an entry uses never decreases between consecutive requests. */
+function checkRevisionOrder(history: ConfigurationHistory): string[] {
+  const responses = history.eventsOfKind("answered").sort((a, b) =>
     a.invokedMs - b.invokedMs
   );
-  const finished = [...answers].sort((a, b) => a.returnedMs - b.returnedMs);
+  const byReturnTime = [...responses].sort((a, b) =>
+    a.returnedMs - b.returnedMs
+  );
   const highest = new Map<string, number>();
   const problems: string[] = [];
   let next = 0;
-  for (const answer of answers) {
-    while ((finished[next]?.returnedMs ?? Infinity) < answer.invokedMs) {
-      const { entry, revision } = finished[next] as typeof answer;
+  for (const response of responses) {
+    while ((byReturnTime[next]?.returnedMs ?? Infinity) < response.invokedMs) {
+      const { entry, revision } = byReturnTime[next] as typeof response;
       highest.set(entry, Math.max(highest.get(entry) ?? 0, revision));
       next += 1;
     }
-    const seen = highest.get(answer.entry) ?? 0;
-    if (answer.revision >= seen) continue;
+    const highestSeen = highest.get(response.entry) ?? 0;
+    if (response.revision >= highestSeen) continue;
     problems.push(
-      `${answer.entry} went back from revision ${seen} to ${answer.revision}`,
+      `${response.entry} reverted from revision ${highestSeen} to ${response.revision}`,
     );
   }
   return problems;
 }
 
-/** What is forbidden long enough is refused everywhere. */
-function checkGuarded(
+/** Checks that each entry refuses a model once its removal must be in effect. */
+function checkGuardedModel(
   history: ConfigurationHistory,
   applied: readonly AppliedEvent[],
 ): string[] {
-  return history.of("guarded").flatMap((event) => {
+  return history.eventsOfKind("guarded").flatMap((event) => {
     if (!event.allowed) return [];
-    const possible = contentsBetween(applied, event);
-    if (possible.some((content) => contentOf(content).guardedAllowed)) {
+    const possible = possibleVariants(applied, event);
+    if (
+      possible.some((variantNumber) => variantOf(variantNumber).guardedAllowed)
+    ) {
       return [];
     }
     return [
-      `${event.entry} served a model that its account may not use any more`,
+      `${event.entry} served a model that the client account is no longer allowed to use`,
     ];
   });
 }
 
-/** A version that is withdrawn long enough gets no work. */
+/** Checks that a version receives no work once its withdrawal must be in effect. */
 function checkWork(
   history: ConfigurationHistory,
   applied: readonly AppliedEvent[],
 ): string[] {
-  return history.of("work").flatMap(({ version, atMs }) => {
-    const possible = contentsBetween(applied, {
+  return history.eventsOfKind("work").flatMap(({ version, atMs }) => {
+    const possible = possibleVariants(applied, {
       invokedMs: atMs,
       returnedMs: atMs,
     });
-    if (possible.some((content) => contentOf(content).version === version)) {
+    if (
+      possible.some((variantNumber) =>
+        variantOf(variantNumber).version === version
+      )
+    ) {
       return [];
     }
-    return [`Version ${version} got new work after it was withdrawn`];
+    return [`Version ${version} received new work after it was withdrawn`];
   });
 }
 
-/** Contents by which a request of that time may have been decided. */
-function contentsBetween(
+/** Returns the variants that may have been in effect while the request ran. */
+function possibleVariants(
   applied: readonly AppliedEvent[],
   { invokedMs, returnedMs }: { invokedMs: number; returnedMs: number },
 ): number[] {
-  const newest = newestInForce(applied, invokedMs) ?? 0;
+  const newest = newestRequiredRevision(applied, invokedMs) ?? 0;
   return applied
-    // An apply takes effect before its outcome is known: in an outage, by as long as that lasts.
+    // An apply can take effect before the operator learns its outcome. In an outage, the delay
+    // between the two is as long as the outage.
     .filter((event) =>
       event.revision >= newest && event.invokedMs <= returnedMs
     )
     .map(({ content }) => content);
 }
 
-/** Latest revision that must be in force for a request invoked at that time. */
-function newestInForce(
+/** Returns the latest revision that must be in effect for a request sent at `invokedMs`. */
+function newestRequiredRevision(
   applied: readonly AppliedEvent[],
   invokedMs: number,
 ): number | undefined {
-  const due = applied.filter(({ atMs }) =>
-    atMs + IN_FORCE_WITHIN_MS <= invokedMs
+  const required = applied.filter(({ atMs }) =>
+    atMs + MAX_PROPAGATION_MS <= invokedMs
   );
-  return due[due.length - 1]?.revision;
+  return required[required.length - 1]?.revision;
 }
--- a/prove/configuration_checker_test.ts
+++ b/prove/configuration_checker_test.ts
@@ -2,14 +2,14 @@
 import { describe, test } from "node:test";
 import {
   checkConfigurationHistory,
-  IN_FORCE_WITHIN_MS,
+  MAX_PROPAGATION_MS,
 } from "./configuration_checker.ts";
 import {
   ConfigurationHistory,
   type HistoryEvent,
 } from "./configuration_history.ts";
 
-const DUE = IN_FORCE_WITHIN_MS;
+const PROPAGATION_MS = MAX_PROPAGATION_MS;
 
 function violationsOf(...events: HistoryEvent[]): string[] {
   const history = new ConfigurationHistory();
@@ -41,96 +41,101 @@
   };
 }
 
-describe("the checker of configuration histories", () => {
-  test("should accept what is promised", () => {
+describe("configuration history checker", () => {
+  test("should accept a history that meets all guarantees", () => {
     assert.deepEqual(
       violationsOf(
-        answered(1, "v1", 900 + DUE),
-        answered(2, "v2", 1_000 + DUE),
+        answered(1, "v1", 900 + PROPAGATION_MS),
+        answered(2, "v2", 1_000 + PROPAGATION_MS),
         {
           kind: "guarded",
           entry: "e",
-          invokedMs: 2_000 + DUE,
-          returnedMs: 2_001 + DUE,
+          invokedMs: 2_000 + PROPAGATION_MS,
+          returnedMs: 2_001 + PROPAGATION_MS,
           allowed: false,
         },
-        { kind: "work", version: "v2", atMs: 2_000 + DUE },
+        { kind: "work", version: "v2", atMs: 2_000 + PROPAGATION_MS },
       ),
       [],
     );
   });
 
-  // Seen with seed 6: all entries answered by revision 65 for 24 s before its outcome was known,
-  // 33 s after the first answer, as an outage began between the write and its reports.
-  test("should accept what an apply allows whose outcome an outage keeps unknown", () => {
-    const outcomeMs = 3_000 + 4 * DUE;
+  // An outage can begin between the write of a revision and the reports that confirm it. With
+  // seed 6, all entries responded according to revision 65 for 24 s before its outcome was known,
+  // 33 s after the first response.
+  test("should accept the effects of an apply whose outcome is unknown during an outage", () => {
+    const outcomeMs = 3_000 + 4 * PROPAGATION_MS;
     assert.deepEqual(
       violationsOf(
         applied(2, { revision: 3, invokedMs: 2_000, atMs: outcomeMs }),
-        answered(3, "v1", 2_000 + DUE),
+        answered(3, "v1", 2_000 + PROPAGATION_MS),
         {
           kind: "guarded",
           entry: "e",
-          invokedMs: 2_000 + DUE,
-          returnedMs: 2_001 + DUE,
+          invokedMs: 2_000 + PROPAGATION_MS,
+          returnedMs: 2_001 + PROPAGATION_MS,
           allowed: true,
         },
-        { kind: "work", version: "v1", atMs: 2_000 + DUE },
+        { kind: "work", version: "v1", atMs: 2_000 + PROPAGATION_MS },
       ),
       [],
     );
   });
 
-  const broken: [string, HistoryEvent[], RegExp][] = [
-    ["an answer by a revision that should be gone", [
-      answered(1, "v1", 1_000 + DUE),
-    ], /had to be in force/],
+  const violatingHistories: [string, HistoryEvent[], RegExp][] = [
+    ["a response according to a revision that must have been replaced", [
+      answered(1, "v1", 1_000 + PROPAGATION_MS),
+    ], /must have been in effect/],
     [
-      "an answer by parts of two revisions",
+      "a response that mixes two revisions",
       [answered(2, "v1", 2_000)],
-      /but by version v1/,
+      /but with version v1/,
     ],
     [
-      "an answer by what nobody applied",
+      "a response according to a revision that was never applied",
       [answered(7, "v1", 2_000)],
-      /nobody applied/,
+      /which was never applied/,
     ],
-    ["an entry that goes back", [
+    ["an entry that reverts to an earlier revision", [
       answered(2, "v2", 2_000),
       answered(1, "v1", 2_011),
-    ], /went back/],
+    ], /reverted from revision/],
     [
-      "a model that is not allowed any more",
+      "a served model that is no longer allowed",
       [{
         kind: "guarded",
         entry: "e",
-        invokedMs: 2_000 + DUE,
-        returnedMs: 2_001 + DUE,
+        invokedMs: 2_000 + PROPAGATION_MS,
+        returnedMs: 2_001 + PROPAGATION_MS,
         allowed: true,
       }],
-      /may not use any more/,
+      /no longer allowed to use/,
     ],
     ["work for a withdrawn version", [{
       kind: "work",
       version: "v1",
-      atMs: 2_000 + DUE,
+      atMs: 2_000 + PROPAGATION_MS,
     }], /withdrawn/],
     ["a revision accepted twice", [
       applied(2, { revision: 2, invokedMs: 2_990, atMs: 3_000 }),
     ], /accepted twice/],
-    ["a model that is allowed only by what no operator has sent yet", [
-      applied(2, { revision: 3, invokedMs: 6_000 + DUE, atMs: 6_010 + DUE }),
+    ["a served model that only a later apply allows", [
+      applied(2, {
+        revision: 3,
+        invokedMs: 6_000 + PROPAGATION_MS,
+        atMs: 6_010 + PROPAGATION_MS,
+      }),
       {
         kind: "guarded",
         entry: "e",
-        invokedMs: 2_000 + DUE,
-        returnedMs: 2_001 + DUE,
+        invokedMs: 2_000 + PROPAGATION_MS,
+        returnedMs: 2_001 + PROPAGATION_MS,
         allowed: true,
       },
-    ], /may not use any more/],
+    ], /no longer allowed to use/],
   ];
-  for (const [what, events, expected] of broken) {
-    test(`should find ${what}`, () =>
+  for (const [violation, events, expected] of violatingHistories) {
+    test(`should report ${violation}`, () =>
       assert.match(violationsOf(...events).join("\n"), expected));
   }
 });
--- a/prove/configuration_history.ts
+++ b/prove/configuration_history.ts
@@ -1,30 +1,31 @@
-/** What operators and callers saw while configurations changed under faults. */
+/** Events that operators and callers record while configurations change under faults. */
 
 import { writeFileSync } from "node:fs";
 
-/** An apply, with the time at which its outcome was known. */
+/** An apply that was accepted. */
 export interface AppliedEvent {
   readonly kind: "applied";
-  /** Which content it was. */
+  /** Number of the configuration variant, see `variantOf`. */
   readonly content: number;
   readonly revision: number;
-  /** When the operator first sent it; from then on it may have been in effect. */
+  /** When the operator first sent it. It may be in effect from this time on. */
   readonly invokedMs: number;
+  /** When the operator learned the outcome. */
   readonly atMs: number;
 }
 
-/** An answer that was decided by some revision. */
+/** A successful response, with the revision according to which it was routed. */
 export interface AnsweredEvent {
   readonly kind: "answered";
   readonly entry: string;
   readonly invokedMs: number;
   readonly returnedMs: number;
   readonly revision: number;
-  /** Version that answered. */
+  /** Version of the model that produced the response. */
   readonly version: string;
 }
 
-/** A request for the model that every second content forbids. */
+/** A request for the model `guarded`, which every second variant forbids. */
 export interface GuardedEvent {
   readonly kind: "guarded";
   readonly entry: string;
@@ -33,31 +34,30 @@
   readonly allowed: boolean;
 }
 
-/** Work that a model server got. */
+/** Work that a model server received. */
 export interface WorkEvent {
   readonly kind: "work";
   readonly version: string;
   readonly atMs: number;
 }
 
-/** Any event. */
+/** An event of a configuration run. */
 export type HistoryEvent =
   | AppliedEvent
   | AnsweredEvent
   | GuardedEvent
   | WorkEvent;
 
-/** Events of one run, in the order in which they became known. */
+/** Events of one run, in the order in which they were recorded. */
 export class ConfigurationHistory {
   readonly #events: HistoryEvent[] = [];
 
-  /** Records an event. */
   record(event: HistoryEvent): void {
     this.#events.push(event);
   }
 
-  /** Events of one kind. */
-  of<K extends HistoryEvent["kind"]>(
+  /** Returns the events of one kind. */
+  eventsOfKind<K extends HistoryEvent["kind"]>(
     kind: K,
   ): Extract<HistoryEvent, { kind: K }>[] {
     return this.#events.filter((event) => event.kind === kind) as Extract<
@@ -66,13 +66,12 @@
     >[];
   }
 
-  /** Writes all events to a file, a line each. */
+  /** Writes all events to a file, one JSON object per line. */
   writeTo(file: string): void {
     const lines = this.#events.map((event) => JSON.stringify(event));
     writeFileSync(file, `${lines.join("\n")}\n`);
   }
 
-  /** Number of events. */
   get size(): number {
     return this.#events.length;
   }
--- a/prove/configuration_operators.ts
+++ b/prove/configuration_operators.ts
@@ -1,4 +1,4 @@
-/** Operators who apply configurations at the same time, and settle what they do not know. */
+/** Simulated operators that apply configurations concurrently and resolve unknown outcomes. */
 
 import { Applier, type ApplyOutcome } from "../src/configuration/applier.ts";
 import type { Configuration } from "../src/core/config/configuration.ts";
@@ -7,32 +7,32 @@
 import { Deadline } from "../src/runtime/deadline.ts";
 import { pause } from "../src/runtime/pause.ts";
 import { hashKey } from "../tests/fixtures/test_fleet.ts";
-import { contentOf } from "./configuration_checker.ts";
+import { variantOf } from "./configuration_checker.ts";
 import type { ConfigurationHistory } from "./configuration_history.ts";
-import type { CuttableFleet } from "./cuttable_fleet.ts";
+import type { PartitionableFleet } from "./partitionable_fleet.ts";
 
-const APPLY_EVERY_MS = 600;
-const APPLY_LIMIT_MS = 1_500;
+const APPLY_INTERVAL_MS = 600;
+const APPLY_TIMEOUT_MS = 1_500;
 const PLATFORM_TIMEOUT_MS = 1_000;
 
 interface Deps {
-  readonly fleet: CuttableFleet;
+  readonly fleet: PartitionableFleet;
   readonly history: ConfigurationHistory;
-  /** API key of the one client account. */
+  /** API key of the only client account. */
   readonly key: string;
 }
 
-/** Applies numbered contents, and records those that were accepted. */
+/** Applies numbered configuration variants and records the accepted ones. */
 export class ConfigurationOperators {
   readonly #deps: Deps;
-  #racing = true;
-  #content = 0;
+  #applying = true;
+  #lastVariant = 0;
 
   constructor(deps: Deps) {
     this.#deps = deps;
   }
 
-  /** Starts the fleet with the first content. */
+  /** Starts the fleet with the first variant. */
   async startFleet(): Promise<void> {
     const { fleet } = this.#deps;
     const invokedMs = Date.now();
@@ -42,52 +42,60 @@
     this.#record(0, { revision: 1, invokedMs });
   }
 
-  /** Lets so many operators apply again and again, until they are stopped. */
-  async race(operators: number): Promise<void> {
+  /** Runs the given number of operators, which apply variants until `stopApplying`. */
+  async applyConcurrently(operators: number): Promise<void> {
     await Promise.all(
-      Array.from({ length: operators }, () => this.#applyInTurn()),
+      Array.from({ length: operators }, () => this.#applyRepeatedly()),
     );
   }
 
-  /** Lets operators end what they are at, and apply no more. */
-  stopRacing(): void {
-    this.#racing = false;
+  /** Stops the operators after the applies that are in progress. */
+  stopApplying(): void {
+    this.#applying = false;
   }
 
-  /** Applies the next content. An unknown outcome is settled by the same id. */
+  /** Applies the next variant. Retries under the same id while the outcome is unknown. */
   async apply(label: string): Promise<void> {
-    this.#content += 1;
-    const content = this.#content;
+    this.#lastVariant += 1;
+    const variantNumber = this.#lastVariant;
     const invokedMs = Date.now();
     let outcome: ApplyOutcome;
     let wasUnknown = false;
     do {
-      outcome = await this.#tryApply(content, `${label}-${content}`);
+      outcome = await this.#tryApply(
+        variantNumber,
+        `${label}-${variantNumber}`,
+      );
       wasUnknown ||= outcome.tag === "unknown";
-      // Once an outcome is unknown, an unavailable platform settles nothing.
+      // After an unknown outcome, "unavailable" does not show whether the first try was accepted.
     } while (
       outcome.tag === "unknown" || (wasUnknown && outcome.tag === "unavailable")
     );
     if (outcome.tag === "accepted") {
-      this.#record(content, { revision: outcome.revision, invokedMs });
+      this.#record(variantNumber, { revision: outcome.revision, invokedMs });
     }
   }
 
-  async #applyInTurn(): Promise<void> {
-    while (this.#racing) {
+  async #applyRepeatedly(): Promise<void> {
+    while (this.#applying) {
       await this.apply("race");
-      await pause(APPLY_EVERY_MS);
+      await pause(APPLY_INTERVAL_MS);
     }
   }
 
-  async #tryApply(content: number, applyId: string): Promise<ApplyOutcome> {
+  async #tryApply(
+    variantNumber: number,
+    applyId: string,
+  ): Promise<ApplyOutcome> {
     const { fleet } = this.#deps;
     const platform = new HttpPlatform({
       url: fleet.platformUrl,
       timeoutMs: PLATFORM_TIMEOUT_MS,
     });
-    const deadline = new Deadline(APPLY_LIMIT_MS);
-    const configuration = fleet.withBackends(this.#configurationOf(content));
+    const deadline = new Deadline(APPLY_TIMEOUT_MS);
+    const configuration = fleet.withBackends(
+      this.#configurationOf(variantNumber),
+    );
     try {
       const applier = new Applier({ platform, clock: new SystemClock() });
       return await applier.apply({ configuration, applyId, deadline });
@@ -98,27 +106,31 @@
   }
 
   #record(
-    content: number,
+    variantNumber: number,
     { revision, invokedMs }: { revision: number; invokedMs: number },
   ): void {
     this.#deps.history.record({
       kind: "applied",
-      content,
+      content: variantNumber,
       revision,
       invokedMs,
       atMs: Date.now(),
     });
   }
 
-  #configurationOf(content: number): Configuration {
-    const { version, guardedAllowed } = contentOf(content);
+  #configurationOf(variantNumber: number): Configuration {
+    const { version, guardedAllowed } = variantOf(variantNumber);
     const stateOf = (id: string) => id === version ? "serving" : "withdrawn";
     const versions = ["v1", "v2"].map((id) => ({
       id,
       state: stateOf(id),
       cost_per_1k_tokens: 1,
     }));
-    const always = { id: "v1", state: "serving", cost_per_1k_tokens: 1 };
+    const servingVersion = {
+      id: "v1",
+      state: "serving",
+      cost_per_1k_tokens: 1,
+    };
     const cfg = {
       accounts: [{
         id: "a",
@@ -126,13 +138,13 @@
         models: guardedAllowed ? ["m", "both", "guarded"] : ["m", "both"],
         services: [],
         priority: "standard",
-        // Makes each content another one.
-        max_in_flight: 1_000 + content,
+        // Makes each variant unique.
+        max_in_flight: 1_000 + variantNumber,
       }],
       models: [
         { id: "m", stable: version, versions },
-        { id: "guarded", stable: "v1", versions: [always] },
-        { id: "small", stable: "v1", versions: [always] },
+        { id: "guarded", stable: "v1", versions: [servingVersion] },
+        { id: "small", stable: "v1", versions: [servingVersion] },
       ],
       cascades: [{
         id: "both",
--- a/prove/configuration_proof.ts
+++ b/prove/configuration_proof.ts
@@ -1,34 +1,40 @@
-/** Accepted configurations are in force everywhere within seconds, as a whole, for good. */
+/**
+ * Proves that an accepted configuration takes effect on every entry within seconds, atomically,
+ * and is never reverted.
+ */
 
 import { pause } from "../src/runtime/pause.ts";
 import { type Answer, Caller } from "../tests/fixtures/caller.ts";
 import { seededChance } from "../tests/fixtures/seeded_chance.ts";
 import { getJson } from "../tests/fixtures/test_fleet.ts";
-import { AcceptanceLosses } from "./acceptance_losses.ts";
+import { PlatformOutages } from "./platform_outages.ts";
 import { CallTally } from "./call_tally.ts";
 import { checkConfigurationHistory } from "./configuration_checker.ts";
 import { ConfigurationHistory } from "./configuration_history.ts";
 import { ConfigurationOperators } from "./configuration_operators.ts";
-import { CuttableFleet } from "./cuttable_fleet.ts";
-import { inForceFigures } from "./in_force_figures.ts";
+import { PartitionableFleet } from "./partitionable_fleet.ts";
+import { propagationFigures } from "./propagation_figures.ts";
 import type { Proof, ProofResult } from "./proof.ts";
 
 const KEY = "key-of-the-proof";
 const OPERATORS = 2;
-const CALL_EVERY_MS = 25;
-/** Entries that the faults name; fewer only meet losses of the platform. */
+const CALL_INTERVAL_MS = 25;
+/**
+ * Number of entries that the injected faults address by name. Runs with fewer entries include
+ * only the platform outages.
+ */
 const NAMED_ENTRIES = 5;
-const RATE_MS = 3_000;
-/** Longer than any confirmation, and than the promise itself. */
+const RATE_WINDOW_MS = 3_000;
+/** Longer than any confirmation and longer than the guaranteed propagation time. */
 const FREEZE_MS = 11_000;
-/** Requests sent to the frozen entry just before it is woken. */
+/** Requests sent to the frozen entry just before it resumes. */
 const LATE_CALLS = 10;
 
-/** What a run is made of. */
+/** Options of a run. */
 export interface ConfigurationProofOptions {
-  /** Draws in which order, and when, the platform is lost. */
+  /** Seed for the order and the timing of the platform outages. */
   readonly seed: number;
-  /** Where to write all events, a line each. */
+  /** File to which all events are written, one JSON object per line. */
   readonly historyFile?: string | undefined;
   readonly entries: number;
 }
@@ -36,36 +42,36 @@
 /** Runs operators, callers and faults against a fleet of processes. */
 export class ConfigurationProof implements Proof {
   readonly name = "configuration";
-  readonly promise =
-    "An accepted configuration is in force everywhere within seconds and never reverts";
+  readonly guarantee =
+    "An accepted configuration is in effect on every entry within seconds and is never reverted";
   readonly faults = [
-    "racing operators",
-    "lost answers",
-    "platform away and slow",
-    "restart in an outage",
-    "watches stuck",
-    "cut from platform, peers, both",
-    "frozen and woken",
-    "platform lost right after an apply",
-    "all entries cut from the platform",
+    "concurrent operators",
+    "lost responses",
+    "platform unreachable and slow",
+    "entry restart during a platform outage",
+    "stuck watches",
+    "entries disconnected from platform, peers, both",
+    "entry frozen and resumed",
+    "platform outage right after an apply",
+    "all entries disconnected from the platform",
   ];
   readonly #options: ConfigurationProofOptions;
   readonly #history = new ConfigurationHistory();
   readonly #entries: readonly string[];
-  readonly #fleet: CuttableFleet;
+  readonly #fleet: PartitionableFleet;
   readonly #operators: ConfigurationOperators;
   readonly #callTally = new CallTally();
   #calling = true;
-  #quietCalls = 0;
-  #changeCalls = 0;
+  #idleCallRate = 0;
+  #applyCallRate = 0;
 
   constructor(options: ConfigurationProofOptions) {
     this.#options = options;
     this.#entries = Array.from(
       { length: options.entries },
-      (_, at) => `e${at + 1}`,
+      (_, index) => `e${index + 1}`,
     );
-    this.#fleet = new CuttableFleet(this.#entries);
+    this.#fleet = new PartitionableFleet(this.#entries);
     this.#operators = new ConfigurationOperators({
       fleet: this.#fleet,
       history: this.#history,
@@ -76,15 +82,15 @@
   async run(): Promise<ProofResult> {
     try {
       await this.#operators.startFleet();
-      this.#quietCalls = await this.#platformCallRate();
-      const operators = this.#operators.race(OPERATORS);
-      const callers = this.#entries.map((entry) => this.#keepCalling(entry));
-      const isNamed = this.#entries.length >= NAMED_ENTRIES;
-      if (isNamed) await this.#injectFaults();
-      await this.#loseAcceptances();
-      this.#operators.stopRacing();
+      this.#idleCallRate = await this.#measurePlatformCallRate();
+      const operators = this.#operators.applyConcurrently(OPERATORS);
+      const callers = this.#entries.map((entry) => this.#callRepeatedly(entry));
+      const hasNamedEntries = this.#entries.length >= NAMED_ENTRIES;
+      if (hasNamedEntries) await this.#injectFaults();
+      await this.#injectPlatformOutages();
+      this.#operators.stopApplying();
       await operators;
-      if (isNamed) await this.#freezeOne();
+      if (hasNamedEntries) await this.#freezeEntry();
       this.#calling = false;
       await Promise.all(callers);
       await this.#recordWork();
@@ -99,24 +105,26 @@
       figures: {
         entries: String(this.#entries.length),
         seed: String(this.#options.seed),
-        ...inForceFigures(this.#history),
+        ...propagationFigures(this.#history),
         ...this.#callTally.figures(),
-        "platform calls a second, quiet": this.#quietCalls.toFixed(1),
-        "platform calls a second, in change": this.#changeCalls.toFixed(1),
+        "platform calls per second, idle": this.#idleCallRate.toFixed(1),
+        "platform calls per second, during applies": this.#applyCallRate
+          .toFixed(1),
       },
     };
   }
 
-  async #platformCallRate(): Promise<number> {
+  async #measurePlatformCallRate(): Promise<number> {
     const before = await this.#fleet.platformCalls();
-    await pause(RATE_MS);
-    return (await this.#fleet.platformCalls() - before) * 1_000 / RATE_MS;
+    await pause(RATE_WINDOW_MS);
+    return (await this.#fleet.platformCalls() - before) * 1_000 /
+      RATE_WINDOW_MS;
   }
 
   async #injectFaults(): Promise<void> {
     const fleet = this.#fleet;
-    this.#changeCalls = await this.#platformCallRate();
-    for (let lost = 0; lost < 3; lost++) {
+    this.#applyCallRate = await this.#measurePlatformCallRate();
+    for (let round = 0; round < 3; round++) {
       await fleet.setPlatformFaults({ lose_write_answers: 2 });
       await pause(700);
     }
@@ -129,43 +137,49 @@
     await fleet.setPlatformFaults({ delay_ms: 300 });
     await pause(3_000);
     await fleet.setPlatformFaults({});
-    fleet.cutFromPlatform("e3");
-    fleet.cutFromPeers("e3");
-    fleet.cutFromPlatform("e4");
-    fleet.cutFromPeers("e5");
+    fleet.disconnectFromPlatform("e3");
+    fleet.disconnectFromPeers("e3");
+    fleet.disconnectFromPlatform("e4");
+    fleet.disconnectFromPeers("e5");
     await pause(14_000);
-    fleet.heal();
+    fleet.restoreConnections();
     await pause(3_000);
   }
 
-  async #loseAcceptances(): Promise<void> {
-    const losses = new AcceptanceLosses({
+  async #injectPlatformOutages(): Promise<void> {
+    const outages = new PlatformOutages({
       fleet: this.#fleet,
       callTally: this.#callTally,
       apply: (label) => this.#operators.apply(label),
-      chance: seededChance(this.#options.seed),
+      random: seededChance(this.#options.seed),
     });
-    await losses.play();
+    await outages.run();
   }
 
-  /** The last content stays, so that whatever the woken entry does wrong shows. */
-  async #freezeOne(): Promise<void> {
+  /**
+   * Freezes an entry during the last apply. No later variant follows, so each outdated response
+   * of the resumed entry is recorded as a violation.
+   */
+  async #freezeEntry(): Promise<void> {
     this.#fleet.signal("e1", "SIGSTOP");
     await this.#operators.apply("last");
     await pause(FREEZE_MS);
-    const late = Array.from({ length: LATE_CALLS }, () => this.#callOnce("e1"));
+    const lateCalls = Array.from(
+      { length: LATE_CALLS },
+      () => this.#callOnce("e1"),
+    );
     await pause(500);
     this.#fleet.signal("e1", "SIGCONT");
-    await Promise.all(late);
+    await Promise.all(lateCalls);
     await pause(2_000);
   }
 
-  async #keepCalling(entry: string): Promise<void> {
+  async #callRepeatedly(entry: string): Promise<void> {
     while (this.#calling) {
       await this.#callOnce(entry);
-      // Keeps the load of all callers together as it is with the entries that are named.
-      const fleetFactor = this.#entries.length / NAMED_ENTRIES;
-      await pause(CALL_EVERY_MS * Math.max(1, fleetFactor));
+      // Keeps the total load of all callers the same as with NAMED_ENTRIES entries.
+      const loadFactor = this.#entries.length / NAMED_ENTRIES;
+      await pause(CALL_INTERVAL_MS * Math.max(1, loadFactor));
     }
   }
 
@@ -173,31 +187,31 @@
     const caller = new Caller(this.#fleet.callersOf(entry), KEY);
     const invokedMs = Date.now();
     try {
-      const answer = await caller.chat("m");
-      this.#callTally.note(answer.status);
-      this.#recordAnswer(answer, { entry, invokedMs });
-      const cascadeMs = Date.now();
-      this.#recordAnswer(await caller.chat("both"), {
+      const response = await caller.chat("m");
+      this.#callTally.recordStatus(response.status);
+      this.#recordResponse(response, { entry, invokedMs });
+      const cascadeInvokedMs = Date.now();
+      this.#recordResponse(await caller.chat("both"), {
         entry,
-        invokedMs: cascadeMs,
+        invokedMs: cascadeInvokedMs,
       });
-      const guardedAtMs = Date.now();
+      const guardedInvokedMs = Date.now();
       const guarded = await caller.chat("guarded");
       if (guarded.status !== 200 && guarded.status !== 403) return;
       this.#history.record({
         kind: "guarded",
         entry,
-        invokedMs: guardedAtMs,
+        invokedMs: guardedInvokedMs,
         returnedMs: Date.now(),
         allowed: guarded.status === 200,
       });
     } catch {
-      // The entry is being restarted; its callers try again.
+      // The entry is being restarted; the next call follows after the interval.
     }
   }
 
-  /** An answer by the small model is one that could not be escalated. */
-  #recordAnswer(
+  /** Skips responses of the model `small`: their cascade could not escalate. */
+  #recordResponse(
     { status, headers }: Answer,
     { entry, invokedMs }: { entry: string; invokedMs: number },
   ): void {
--- a/prove/main.ts
+++ b/prove/main.ts
@@ -1,4 +1,4 @@
-/** Runs the proofs of what must always hold: all, or the one that is named. */
+/** Runs the proofs of the guarantees under faults: all of them, or the one given by name. */
 
 import process from "node:process";
 import yargs from "yargs";
@@ -10,20 +10,22 @@
 
 const DEFAULT_SEED = 1;
 const DEFAULT_ENTRIES = 5;
-const VIOLATIONS_SHOWN = 10;
+const MAX_VIOLATIONS_PRINTED = 10;
 
 async function main(): Promise<void> {
-  const { seed, entries, history, name: wanted } = await readArguments();
+  const { seed, entries, history, name: requestedName } = await readArguments();
   const all: readonly Proof[] = [
     new ConfigurationProof({ seed, entries, historyFile: history }),
     new PlannedStopProof(),
   ];
   const proofs = all.filter(({ name }) =>
-    wanted === undefined || wanted === name
+    requestedName === undefined || requestedName === name
   );
   if (proofs.length === 0) {
     console.error(
-      `No proof is named ${wanted}; there are ${all.map((p) => p.name)}`,
+      `Unknown proof ${requestedName}; available proofs: ${
+        all.map((p) => p.name)
+      }`,
     );
     process.exit(2);
   }
@@ -60,16 +62,16 @@
     .option("seed", {
       type: "number",
       default: DEFAULT_SEED,
-      describe: "Seed of the faults that are drawn by chance",
+      describe: "Seed for the random order and timing of faults",
     })
     .option("entries", {
       type: "number",
       default: DEFAULT_ENTRIES,
-      describe: "Entries of the configuration proof",
+      describe: "Number of entries in the configuration proof",
     })
     .option("history", {
       type: "string",
-      describe: "File to which the configuration proof writes what it saw",
+      describe: "File to which the configuration proof writes its events",
     })
     .strictOptions()
     .parse();
@@ -83,18 +85,18 @@
 
 async function runOne(proof: Proof): Promise<boolean> {
   const { operations, violations, figures } = await proof.run();
-  const verdict = violations.length === 0
+  const result = violations.length === 0
     ? "holds"
     : `BROKEN (${violations.length})`;
   console.log(
-    `${proof.promise} | ${
+    `${proof.guarantee} | ${
       proof.faults.join(", ")
-    } | ${operations} operations | ${verdict}`,
+    } | ${operations} operations | ${result}`,
   );
   for (const [name, value] of Object.entries(figures)) {
     console.log(`  ${name}: ${value}`);
   }
-  for (const violation of violations.slice(0, VIOLATIONS_SHOWN)) {
+  for (const violation of violations.slice(0, MAX_VIOLATIONS_PRINTED)) {
     console.log(`  ${violation}`);
   }
   return violations.length === 0;
--- a/prove/planned_stop_history.ts
+++ b/prove/planned_stop_history.ts
@@ -1,15 +1,15 @@
-/** What callers saw while entries were replaced and a backend server left. */
+/** Events recorded while entries are replaced and a backend server leaves, and their check. */
 
-/** A request and how it ended. */
+/** A request and its outcome. */
 export interface CallEvent {
-  readonly what: "chat" | "stream" | "service";
+  readonly kind: "chat" | "stream" | "service";
   readonly entry: string;
   readonly invokedMs: number;
-  /** Undefined when the answer was whole. */
+  /** What was wrong with the response; undefined when it was complete. */
   readonly problem: string | undefined;
 }
 
-/** Work that a backend server got. */
+/** Work that a backend server received. */
 export interface ServerWork {
   readonly server: string;
   readonly atMs: number;
@@ -19,30 +19,38 @@
 export interface PlannedStopHistory {
   readonly calls: CallEvent[];
   readonly work: ServerWork[];
-  /** Backend server that was listed as leaving, and when. */
+  /** Backend server that was listed as leaving, and the time of that change. */
   leaving: { readonly server: string; readonly atMs: number } | undefined;
 }
 
-/** Seconds after which a leaving server gets no new work: the list's lag and two relayed looks. */
-export const LEFT_WITHIN_MS = 6_000;
+/**
+ * Time after which a leaving server must receive no new work: the delay of the VM list plus two
+ * relayed polls.
+ */
+export const MAX_WORK_AFTER_LEAVING_MS = 6_000;
 
-/** Returns a line for each contradiction. */
+/** Returns one line for each violation. */
 export function checkPlannedStop(
   { calls, work, leaving }: PlannedStopHistory,
 ): string[] {
-  const cut = calls.flatMap(({ what, entry, problem }) =>
-    problem === undefined
-      ? []
-      : [`A ${what} by way of ${entry} was not whole: ${problem}`]
+  const interrupted = calls.flatMap(({ kind, entry, problem }) =>
+    problem === undefined ? [] : [
+      `A ${kind} request through ${entry} failed or was incomplete: ${problem}`,
+    ]
   );
   if (leaving === undefined) {
-    return [...cut, "No backend server left; the run proves nothing"];
+    return [
+      ...interrupted,
+      "No backend server was marked as leaving; the run is inconclusive",
+    ];
   }
-  const late = work.filter(({ server, atMs }) =>
-    server === leaving.server && atMs > leaving.atMs + LEFT_WITHIN_MS
+  const lateWork = work.filter(({ server, atMs }) =>
+    server === leaving.server && atMs > leaving.atMs + MAX_WORK_AFTER_LEAVING_MS
   );
   return [
-    ...cut,
-    ...late.map(({ server }) => `${server} got new work though it leaves`),
+    ...interrupted,
+    ...lateWork.map(({ server }) =>
+      `${server} received new work too long after it was marked as leaving`
+    ),
   ];
 }
--- a/prove/planned_stop_proof.ts
+++ b/prove/planned_stop_proof.ts
@@ -1,4 +1,7 @@
-/** A planned stop cuts no request, and a leaving backend server gets no new work. */
+/**
+ * Proves that a planned stop interrupts no request and that a leaving backend server receives no
+ * new work.
+ */
 
 import { pause } from "../src/runtime/pause.ts";
 import { request } from "undici";
@@ -8,65 +11,65 @@
 import {
   type CallEvent,
   checkPlannedStop,
-  LEFT_WITHIN_MS,
+  MAX_WORK_AFTER_LEAVING_MS,
   type PlannedStopHistory,
 } from "./planned_stop_history.ts";
 
 const KEY = "key-of-the-proof";
 const DATA_CENTRES = ["qc-hall", "pasig-hall", "laguna-hall"];
 const CALLERS = 6;
-const MAX_AGE_S = 2;
-const GRACE_MS = 1_000;
-const TOKENS = 60;
-const TOKEN_MS = 10;
-const CALL_EVERY_MS = 20;
+const ADDRESS_MAX_AGE_S = 2;
+const DRAIN_GRACE_MS = 1_000;
+const COMPLETION_TOKENS = 60;
+const MS_PER_TOKEN = 10;
+const CALL_INTERVAL_MS = 20;
 const LEAVING_SERVER = "model-0";
 
-/** A caller's list of addresses, kept for as long as it was told. */
-class KeptAddresses {
+/** A caller's list of entry addresses, cached for the `max_age` of the last response. */
+class CachedAddresses {
   #addresses: string[];
-  #until = 0;
+  #expiresAtMs = 0;
 
   constructor(first: string) {
     this.#addresses = [first];
   }
 
-  /** Returns the address to use now. */
+  /** Returns the preferred address; refreshes the list when it has expired. */
   async current(): Promise<string> {
-    if (Date.now() >= this.#until) await this.#ask();
+    if (Date.now() >= this.#expiresAtMs) await this.#refresh();
     return this.#addresses[0] as string;
   }
 
-  /** An address that has stopped since is passed over, as any caller would. */
-  async #ask(): Promise<void> {
+  /** Fetches the list from the first known address that responds, as a real caller would. */
+  async #refresh(): Promise<void> {
     for (const address of this.#addresses) {
       try {
-        const answer = await getJson(`http://${address}/addresses`);
-        const addresses = answer.addresses as { address: string }[];
+        const response = await getJson(`http://${address}/addresses`);
+        const addresses = response.addresses as { address: string }[];
         const others = this.#addresses.filter((known) => known !== address);
         this.#addresses = [
           ...new Set([...addresses.map((a) => a.address), address, ...others]),
         ];
-        this.#until = Date.now() + Number(answer.max_age) * 1_000;
+        this.#expiresAtMs = Date.now() + Number(response.max_age) * 1_000;
         return;
       } catch {
         continue;
       }
     }
-    throw new Error("No address answers");
+    throw new Error("None of the known entry addresses responded");
   }
 }
 
-/** Replaces all entries, one after another, under load. */
+/** Replaces all entries one after another under load. */
 export class PlannedStopProof implements Proof {
   readonly name = "planned-stop";
-  readonly promise =
-    "A planned stop cuts no request; a leaving backend server gets no new work after a few seconds";
+  readonly guarantee =
+    "A planned stop interrupts no request; a leaving backend server receives no new work after a few seconds";
   readonly faults = [
-    "all entries replaced in turn",
-    "callers that keep addresses as told",
+    "all entries replaced one after another",
+    "callers that cache addresses for their max age",
     "idle keep-alive connections",
-    "lagging list of VMs",
+    "delayed list of VMs",
   ];
   readonly #history: PlannedStopHistory = {
     calls: [],
@@ -75,7 +78,7 @@
   };
   #fleet: TestFleet | undefined;
   #calling = true;
-  #lastWorkMs = 0;
+  #lastLeavingWorkMs = 0;
 
   async run(): Promise<ProofResult> {
     const fleet = await startFleet();
@@ -84,12 +87,12 @@
       const first = fleet.entry("e1").callers;
       const callers = Array.from(
         { length: CALLERS },
-        (_, at) => this.#keepCalling(first, at),
+        (_, index) => this.#callRepeatedly(first, index),
       );
       await pause(1_000);
-      await this.#letServerLeave();
-      for (const id of ["e1", "e2", "e3"]) await this.#replace(id);
-      await pause(LEFT_WITHIN_MS);
+      await this.#markServerLeaving();
+      for (const id of ["e1", "e2", "e3"]) await this.#replaceEntry(id);
+      await pause(MAX_WORK_AFTER_LEAVING_MS);
       this.#calling = false;
       await Promise.all(callers);
       await this.#recordWork();
@@ -100,29 +103,30 @@
       operations: this.#history.calls.length + this.#history.work.length,
       violations: checkPlannedStop(this.#history),
       figures: {
-        "last new work on the leaving server after": `${this.#lastWorkMs} ms`,
+        "last new work on the leaving server after":
+          `${this.#lastLeavingWorkMs} ms`,
       },
     };
   }
 
-  async #replace(id: string): Promise<void> {
+  async #replaceEntry(id: string): Promise<void> {
     const fleet = this.#fleet as TestFleet;
-    const at = fleet.entries.size;
-    const data_centre = DATA_CENTRES[at % DATA_CENTRES.length] as string;
+    const index = fleet.entries.size;
+    const data_centre = DATA_CENTRES[index % DATA_CENTRES.length] as string;
     await fleet.startEntry({ id: `${id}-new`, data_centre });
     const { process } = fleet.entry(id);
     process.signal("SIGTERM");
     const code = await process.exitCode();
     if (code !== 0) {
       this.#record({
-        what: "chat",
+        kind: "chat",
         entry: id,
-        problem: `it exited with ${code}`,
+        problem: `the entry process exited with code ${code}`,
       });
     }
   }
 
-  async #letServerLeave(): Promise<void> {
+  async #markServerLeaving(): Promise<void> {
     const fleet = this.#fleet as TestFleet;
     const vms = [{ id: LEAVING_SERVER, kind: "backend", state: "leaving" }];
     const res = await request(`${fleet.platformUrl}/vms`, {
@@ -134,27 +138,27 @@
     this.#history.leaving = { server: LEAVING_SERVER, atMs: Date.now() };
   }
 
-  async #keepCalling(first: string, number: number): Promise<void> {
-    const kept = new KeptAddresses(first);
+  async #callRepeatedly(first: string, callerIndex: number): Promise<void> {
+    const addresses = new CachedAddresses(first);
     const kinds = ["chat", "stream", "service"] as const;
-    for (let call = number; this.#calling; call++) {
+    for (let call = callerIndex; this.#calling; call++) {
       await this.#callOnce(
-        await kept.current(),
-        kinds[call % kinds.length] as CallEvent["what"],
+        await addresses.current(),
+        kinds[call % kinds.length] as CallEvent["kind"],
       );
-      await pause(CALL_EVERY_MS);
+      await pause(CALL_INTERVAL_MS);
     }
   }
 
-  async #callOnce(address: string, what: CallEvent["what"]): Promise<void> {
+  async #callOnce(address: string, kind: CallEvent["kind"]): Promise<void> {
     const invokedMs = Date.now();
     let problem: string | undefined;
     try {
-      problem = await problemOf(new Caller(address, KEY), what);
+      problem = await sendAndValidate(new Caller(address, KEY), kind);
     } catch (err) {
       problem = String(err);
     }
-    this.#record({ what, entry: address, problem }, invokedMs);
+    this.#record({ kind, entry: address, problem }, invokedMs);
   }
 
   #record(event: Omit<CallEvent, "invokedMs">, invokedMs = Date.now()): void {
@@ -169,40 +173,43 @@
         this.#history.work.push({ server, atMs: at_ms });
       }
     }
-    const since = this.#history.leaving?.atMs ?? 0;
-    const last = this.#history.work.filter(({ server }) =>
+    const leavingSinceMs = this.#history.leaving?.atMs ?? 0;
+    const leavingWork = this.#history.work.filter(({ server }) =>
       server === LEAVING_SERVER
     );
-    this.#lastWorkMs = Math.max(...last.map(({ atMs }) => atMs)) - since;
+    this.#lastLeavingWorkMs = Math.max(...leavingWork.map(({ atMs }) => atMs)) -
+      leavingSinceMs;
   }
 }
 
-/** Sends a request; returns what is wrong with its answer. */
-async function problemOf(
+/** Sends a request and returns what is wrong with its response, or undefined. */
+async function sendAndValidate(
   caller: Caller,
-  what: CallEvent["what"],
+  kind: CallEvent["kind"],
 ): Promise<string | undefined> {
-  if (what === "service") {
+  if (kind === "service") {
     const { status } = await caller.call("/services/tills/stock/1");
     return status === 200 ? undefined : `status ${status}`;
   }
-  const stream = what === "stream";
+  const stream = kind === "stream";
   const messages = [{ role: "user", content: "Why do calamansi leaves curl?" }];
   const { status, text, json } = await caller.call("/v1/chat/completions", {
     method: "POST",
-    body: { model: "m", stream, max_tokens: TOKENS, messages },
+    body: { model: "m", stream, max_tokens: COMPLETION_TOKENS, messages },
   });
   if (status !== 200) return `status ${status}: ${text.slice(0, 200)}`;
-  const whole = stream
+  const complete = stream
     ? text.trimEnd().endsWith("data: [DONE]")
-    : json?.usage?.completion_tokens === TOKENS;
-  return whole ? undefined : `its end is missing: ${text.slice(-100)}`;
+    : json?.usage?.completion_tokens === COMPLETION_TOKENS;
+  return complete
+    ? undefined
+    : `response truncated, it ends with: ${text.slice(-100)}`;
 }
 
 function startFleet(): Promise<TestFleet> {
   return TestFleet.start({
-    entries: DATA_CENTRES.map((data_centre, at) => ({
-      id: `e${at + 1}`,
+    entries: DATA_CENTRES.map((data_centre, index) => ({
+      id: `e${index + 1}`,
       data_centre,
     })),
     backends: [
@@ -210,13 +217,13 @@
         id: "model-0",
         data_centre: "qc-hall",
         version: "m@v1",
-        tokenMs: TOKEN_MS,
+        tokenMs: MS_PER_TOKEN,
       },
       {
         id: "model-1",
         data_centre: "pasig-hall",
         version: "m@v1",
-        tokenMs: TOKEN_MS,
+        tokenMs: MS_PER_TOKEN,
       },
       { id: "till-0", data_centre: "qc-hall", service: "tills" },
     ],
@@ -234,7 +241,10 @@
       }],
     },
     settings: {
-      callers: { address_max_age_s: MAX_AGE_S, drain_grace_ms: GRACE_MS },
+      callers: {
+        address_max_age_s: ADDRESS_MAX_AGE_S,
+        drain_grace_ms: DRAIN_GRACE_MS,
+      },
     },
   });
 }
--- a/prove/proof.ts
+++ b/prove/proof.ts
@@ -1,19 +1,19 @@
-/** A promise, and the run under faults that tries to break it. */
+/** A guarantee of the router and the fault-injection run that tries to violate it. */
 
-/** How a run ended. */
+/** Result of a run. */
 export interface ProofResult {
-  /** Invocations and outcomes that the checker read. */
+  /** Number of events that the checker evaluated. */
   readonly operations: number;
-  /** What contradicts the promise; empty when it held. */
+  /** Violations of the guarantee; empty when it held. */
   readonly violations: readonly string[];
-  /** Figures worth printing. */
+  /** Measurements to print, by label. */
   readonly figures: Readonly<Record<string, string>>;
 }
 
-/** One promise of the brief. */
+/** One guarantee that is checked under faults. */
 export interface Proof {
   readonly name: string;
-  readonly promise: string;
+  readonly guarantee: string;
   readonly faults: readonly string[];
   run(): Promise<ProofResult>;
 }
