--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the program into one CommonJS file, the form that the single binary needs.
+// Bundles the program into one CommonJS file, the input format of single executable applications.
 import { build } from "esbuild";
 import { bundleOptions } from "./bundle_options.mjs";
 
--- a/scripts/bundle_options.mjs
+++ b/scripts/bundle_options.mjs
@@ -1,4 +1,4 @@
-// How all bundles of the program are made: one CommonJS file, for Node.js 20.
+// esbuild options shared by all bundles: one CommonJS file that targets Node.js 20.
 import { readFileSync } from "node:fs";
 
 const { version } = JSON.parse(readFileSync("package.json", "utf8"));
--- a/scripts/check_clocks.ts
+++ b/scripts/check_clocks.ts
@@ -1,48 +1,53 @@
-/** Checks that ages are taken by the clocks of one file, which tests can set. */
+/** Checks that source files read the time through `Clock`, which tests can replace, and not directly. */
 
 import { readdirSync, readFileSync } from "node:fs";
 import { join, relative, resolve } from "node:path";
 import process from "node:process";
 
 const SOURCE = resolve("src");
-const CLOCK =
+const CLOCK_READ =
   /\b(performance\.now|performance\.timeOrigin|Date\.now|new Date\(\)|process\.hrtime|process\.uptime|uptime\(\))/;
-/** Files that may read a clock themselves, and why. */
-const ALLOWED: ReadonlyMap<string, string> = new Map([
-  ["runtime/clock.ts", "the clocks"],
+/** Files that may read system clocks directly, with the purpose of each read. */
+const ALLOWED_FILES: ReadonlyMap<string, string> = new Map([
+  ["runtime/clock.ts", "the Clock implementations"],
   [
     "runtime/deadline.ts",
-    "deadlines that its own timers keep",
+    "deadlines enforced by timers of the same file",
   ],
-  ["runtime/line_writer.ts", "rate of log lines"],
-  ["runtime/repeated_task.ts", "pauses between rounds"],
+  ["runtime/line_writer.ts", "rate limit of log lines"],
+  ["runtime/repeated_task.ts", "delays between rounds"],
 ]);
-/** Folders that stand for other machines, with clocks of their own. */
-const OTHERS = ["standins/"];
+/** Folders with stand-ins for other machines, which have their own clocks. */
+const EXCLUDED_FOLDERS = ["standins/"];
 
 function main(): void {
-  const files = readdirSync(SOURCE, { recursive: true, encoding: "utf8" })
+  const files = readdirSync(SOURCE, {
+    recursive: true,
+    encoding: "utf8",
+  })
     .filter((file) => file.endsWith(".ts") && !file.endsWith("_test.ts"));
   const problems = files
-    .filter((file) => !ALLOWED.has(file))
-    .filter((file) => !OTHERS.some((folder) => file.startsWith(folder)))
-    .flatMap((file) => readsOf(file));
-  const unused = [...ALLOWED.keys()].filter((file) =>
-    readsOf(file).length === 0
+    .filter((file) => !ALLOWED_FILES.has(file))
+    .filter((file) =>
+      !EXCLUDED_FOLDERS.some((folder) => file.startsWith(folder))
+    )
+    .flatMap((file) => findClockReads(file));
+  const unused = [...ALLOWED_FILES.keys()].filter((file) =>
+    findClockReads(file).length === 0
   );
   for (const problem of problems) console.error(`${problem}: use Clock`);
-  for (const file of unused) console.error(`${file}: reads no clock any more`);
+  for (const file of unused) console.error(`${file}: no longer reads clocks`);
   console.log(`${files.length} files, ${problems.length} clocks of their own`);
   if (problems.length + unused.length > 0) process.exit(1);
 }
 
-function readsOf(file: string): string[] {
+function findClockReads(file: string): string[] {
   const path = join(SOURCE, file);
-  return readFileSync(path, "utf8").split("\n").flatMap((line, at) => {
-    const found = CLOCK.exec(line)?.[1];
+  return readFileSync(path, "utf8").split("\n").flatMap((line, index) => {
+    const found = CLOCK_READ.exec(line)?.[1];
     return found === undefined
       ? []
-      : [`${relative(".", path)}:${at + 1}: ${found}`];
+      : [`${relative(".", path)}:${index + 1}: ${found}`];
   });
 }
 
--- a/scripts/check_imports.ts
+++ b/scripts/check_imports.ts
@@ -1,4 +1,4 @@
-/** Checks that each folder imports only from the folders that it names. */
+/** Checks that each source file imports only the folders and packages that its folder's imports.yaml allows. */
 
 import { readdirSync, readFileSync } from "node:fs";
 import { dirname, join, relative, resolve } from "node:path";
@@ -7,18 +7,21 @@
 
 const RULES_FILE = "imports.yaml";
 const SOURCE = resolve("src");
-const IMPORT = /(?:from|import)\s+"(\.[^"]+|node:[^"]+|[^"]+)"/g;
+const IMPORT_TARGET = /(?:from|import)\s+"(\.[^"]+|node:[^"]+|[^"]+)"/g;
 
 interface Rules {
   /** Folders below src that may be imported from. */
   readonly folders: readonly string[];
-  /** Packages and Node modules that may be imported; "*" allows all. */
+  /** Packages and Node modules that may be imported; "*" allows any. */
   readonly packages: readonly string[];
 }
 
 function main(): void {
   const problems: string[] = [];
-  const files = readdirSync(SOURCE, { recursive: true, encoding: "utf8" })
+  const files = readdirSync(SOURCE, {
+    recursive: true,
+    encoding: "utf8",
+  })
     .filter((file) => file.endsWith(".ts"));
   for (const file of files) problems.push(...checkFile(join(SOURCE, file)));
   for (const problem of problems) console.error(problem);
@@ -31,17 +34,25 @@
 function checkFile(file: string): string[] {
   const folder = dirname(file);
   const rules = readRules(folder);
-  // Tests sit beside their module, but may reach for what they set it up with.
+  // Unit tests lie in the folder of their module, but may import any fixture or dependency.
   if (file.endsWith("_test.ts")) return [];
   if (rules === undefined) return [`${folder}: ${RULES_FILE} is missing`];
   const text = readFileSync(file, "utf8");
-  return [...text.matchAll(IMPORT)].flatMap(([, target = ""]) => {
+  return [...text.matchAll(IMPORT_TARGET)].flatMap(([, target = ""]) => {
     if (target.startsWith(".")) {
-      const to = relative(SOURCE, dirname(resolve(folder, target)));
-      if (to === relative(SOURCE, folder) || rules.folders.includes(to)) {
+      const targetFolder = relative(
+        SOURCE,
+        dirname(resolve(folder, target)),
+      );
+      if (
+        targetFolder === relative(SOURCE, folder) ||
+        rules.folders.includes(targetFolder)
+      ) {
         return [];
       }
-      return [`${relative(".", file)}: may not import from src/${to}`];
+      return [
+        `${relative(".", file)}: may not import from src/${targetFolder}`,
+      ];
     }
     if (
       rules.packages.includes("*") || rules.packages.includes(target)
@@ -50,11 +61,15 @@
   });
 }
 
-/** Rules hold for a folder and those below it without rules of their own. */
+/** Reads the rules of the nearest folder, itself or an ancestor, that has a rules file. */
 function readRules(folder: string): Rules | undefined {
-  for (let at = folder; at.startsWith(SOURCE); at = dirname(at)) {
+  for (
+    let current = folder;
+    current.startsWith(SOURCE);
+    current = dirname(current)
+  ) {
     try {
-      return parse(readFileSync(join(at, RULES_FILE), "utf8")) as Rules;
+      return parse(readFileSync(join(current, RULES_FILE), "utf8")) as Rules;
     } catch {
       continue;
     }
--- a/scripts/check_wire_names.ts
+++ b/scripts/check_wire_names.ts
@@ -1,6 +1,6 @@
 /**
- * Checks that the users' platform is spoken in src/platform only: collects the names of
- * fields, headers and paths that the adapter uses, and looks for them elsewhere.
+ * Checks that only src/platform uses names of the users' platform: collects the fields, headers
+ * and paths that occur in this adapter, and reports uses of them in other folders.
  */
 
 import { readdirSync, readFileSync } from "node:fs";
@@ -8,13 +8,13 @@
 import process from "node:process";
 
 const SOURCE = "src";
-const ADAPTER = "src/platform";
-/** The adapter, and the stand-ins that take the platform's place. */
-const MAY_SPEAK = /^(platform|standins)\//;
-/** The product's own caller API, whose headers have some names in common. */
-const OWN_INTERFACE = /^entry\//;
+const ADAPTER_FOLDER = "src/platform";
+/** The adapter, and the stand-ins that implement the platform in tests. */
+const EXEMPT_FILES = /^(platform|standins)\//;
+/** The router's own API for callers, which shares some header names with the platform. */
+const CALLER_API_FILES = /^entry\//;
 
-/** Keys of schemas and messages: the platform writes them in upper camel case. */
+/** Keys of schemas and messages, which are in upper camel case on the platform. */
 const FIELD = /^\s*([A-Z][a-z]+[A-Za-z]*):/gm;
 const HEADER = /"((?:fieldrack|kv)-[a-z-]+)"/g;
 const PATH = /"(\/-\/[a-z]+)"/g;
@@ -26,47 +26,49 @@
 
 function main(): void {
   const names = collectNames();
-  const files = sourcesIn(SOURCE).filter((file) => !MAY_SPEAK.test(file));
+  const files = sourceFilesIn(SOURCE).filter((file) =>
+    !EXEMPT_FILES.test(file)
+  );
   const problems = files.flatMap((file) => checkFile(file, names));
   for (const problem of problems) console.error(problem);
   console.log(
     `${files.length} files, ${names.fields.size + names.headers.size} names ` +
-      `of the platform, ${problems.length} used outside ${ADAPTER}`,
+      `of the platform, ${problems.length} used outside ${ADAPTER_FOLDER}`,
   );
   if (names.fields.size === 0 || problems.length > 0) process.exit(1);
 }
 
 function collectNames(): Names {
-  const texts = sourcesIn(ADAPTER).map((file) =>
-    readFileSync(join(ADAPTER, file), "utf8")
+  const texts = sourceFilesIn(ADAPTER_FOLDER).map((file) =>
+    readFileSync(join(ADAPTER_FOLDER, file), "utf8")
   );
-  const all = (pattern: RegExp) =>
+  const matchesOf = (pattern: RegExp) =>
     texts.flatMap((text) => [...text.matchAll(pattern)])
       .map(([, name]) => name ?? "");
   return {
-    fields: new Set(all(FIELD)),
-    headers: new Set([...all(HEADER), ...all(PATH)]),
+    fields: new Set(matchesOf(FIELD)),
+    headers: new Set([...matchesOf(HEADER), ...matchesOf(PATH)]),
   };
 }
 
 function checkFile(file: string, { fields, headers }: Names): string[] {
   const text = readFileSync(join(SOURCE, file), "utf8");
-  // As a key, with or without quotes; a type of this name after a colon is ours.
-  const words = [...text.matchAll(/(?<![\w.])"?([A-Z][a-z]+[A-Za-z]*)"?:/g)]
+  // Matches keys only, quoted or not: a name after a colon is a type of this project.
+  const keys = [...text.matchAll(/(?<![\w.])"?([A-Z][a-z]+[A-Za-z]*)"?:/g)]
     .map(([, name]) => name ?? "")
     .filter((name) => fields.has(name));
-  const quoted = OWN_INTERFACE.test(file)
+  const foundHeaders = CALLER_API_FILES.test(file)
     ? []
     : [...text.matchAll(/"([^"\n]+)"/g)].map(([, value]) => value ?? "")
       .filter((value) => headers.has(value.toLowerCase()));
-  // Exit codes are an own enumeration, one of whose names the platform uses as well.
-  const own = file === "cli/exit_code.ts" ? [] : words;
-  return [...new Set([...own, ...quoted])].map((name) =>
-    `src/${file}: ${name} belongs in ${ADAPTER}`
+  // The ExitCode enumeration shares one of its names with the platform.
+  const foundFields = file === "cli/exit_code.ts" ? [] : keys;
+  return [...new Set([...foundFields, ...foundHeaders])].map((name) =>
+    `src/${file}: ${name} belongs in ${ADAPTER_FOLDER}`
   );
 }
 
-function sourcesIn(folder: string): string[] {
+function sourceFilesIn(folder: string): string[] {
   return readdirSync(folder, { recursive: true, encoding: "utf8" })
     .filter((file) => file.endsWith(".ts") && !file.endsWith("_test.ts"));
 }
--- a/scripts/gateway_loader.cjs
+++ b/scripts/gateway_loader.cjs
@@ -1,50 +1,59 @@
-// Runs gateway_program.cjs with the code that V8 compiled when the program was built.
-// With --write-code it runs the program until its standard input ends, and writes that
-// code down.
+// Runs gateway_program.cjs with the V8 code cache that was written at build time.
+// With --write-code it runs the program without a cache until standard input ends, and then
+// writes the cache.
 const fs = require("node:fs");
 const { createRequire } = require("node:module");
 const path = require("node:path");
 const vm = require("node:vm");
 
-const file = path.join(__dirname, "gateway_program.cjs");
-const codeFile = path.join(__dirname, "gateway_program.code");
-const writes = process.argv.includes("--write-code");
+const programFile = path.join(__dirname, "gateway_program.cjs");
+const codeCacheFile = path.join(__dirname, "gateway_program.code");
+const writesCodeCache = process.argv.includes("--write-code");
 
-const source = fs.readFileSync(file, "utf8");
+const source = fs.readFileSync(programFile, "utf8");
 const script = new vm.Script(
   `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
-  { filename: file, cachedData: writes ? undefined : readCode() },
+  {
+    filename: programFile,
+    cachedData: writesCodeCache ? undefined : readCodeCache(),
+  },
 );
 if (script.cachedDataRejected) {
-  process.stderr.write("Compiled code is of another Node.js; compiling anew\n");
+  process.stderr.write(
+    "V8 rejected the code cache, which is of another Node.js version or other flags; compiling from source\n",
+  );
 }
-if (writes) {
-  // As when another build holds the port of the metrics; all else has started by then.
+if (writesCodeCache) {
+  // Happens, for example, if another build uses the metrics port. All other parts have started by then.
   process.on("unhandledRejection", (err) => {
-    process.stderr.write(`Warm-up did not start fully: ${err.message}\n`);
+    process.stderr.write(
+      `Gateway did not start completely during warm-up: ${err.message}\n`,
+    );
   });
 }
-const loaded = { exports: {} };
+const programModule = { exports: {} };
 script.runInThisContext()(
-  loaded.exports,
-  createRequire(file),
-  loaded,
-  file,
+  programModule.exports,
+  createRequire(programFile),
+  programModule,
+  programFile,
   __dirname,
 );
-if (writes) process.stdin.resume().on("end", writeCode);
+if (writesCodeCache) process.stdin.resume().on("end", writeCodeCache);
 
-function readCode() {
+function readCodeCache() {
   try {
-    return fs.readFileSync(codeFile);
+    return fs.readFileSync(codeCacheFile);
   } catch (err) {
-    // Without it the program only starts more slowly.
-    process.stderr.write(`Compiled code is not used: ${err.message}\n`);
+    // The code cache is optional: without it, the program only starts more slowly.
+    process.stderr.write(
+      `Cannot read the code cache; compiling from source: ${err.message}\n`,
+    );
     return undefined;
   }
 }
 
-function writeCode() {
-  fs.writeFileSync(codeFile, script.createCachedData());
+function writeCodeCache() {
+  fs.writeFileSync(codeCacheFile, script.createCachedData());
   process.exit(0);
 }
--- a/scripts/gateway_warm_up.ts
+++ b/scripts/gateway_warm_up.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the bundled gateway before stand-ins for a moment, so that the code which requests
- * and digests take is compiled, and lets it write that code down.
+ * Runs the bundled gateway briefly against stand-ins, so that V8 compiles the functions that handle
+ * requests and digests, and makes it write the V8 code cache.
  */
 
 import { type ChildProcess, spawn } from "node:child_process";
@@ -17,17 +17,17 @@
 import { SilentLogger } from "../src/runtime/logger.ts";
 import { ObjectStoreStandin } from "../src/standins/object_store_standin.ts";
 
-/** Requests of each kind; V8 keeps the code of functions that were called once. */
-const REQUESTS = 12;
-/** Time for the gateways to find each other and to exchange some digests. */
-const SETTLE_MS = 2_000;
-/** Longest wait for the gateway's start. */
-const START_LIMIT_MS = 20_000;
-const POLL_MS = 100;
-const HOST = "warm.example";
-const KEY = "warm-key";
-/** Addresses of one gateway: for callers, readiness, other VMs, and lists of addresses. */
-const LISTENERS = 4;
+/** Requests for each path; V8 caches the code of any function that was called at least once. */
+const REQUESTS_PER_PATH = 12;
+/** Time for the gateways to discover each other and to exchange some digests. */
+const DISCOVERY_MS = 2_000;
+/** Maximum time to wait until the gateway accepts connections. */
+const START_TIMEOUT_MS = 20_000;
+const POLL_INTERVAL_MS = 100;
+const HOSTNAME = "warm.example";
+const API_KEY = "warm-key";
+/** Listening addresses of one gateway: callers, readiness, other VMs, and address lists. */
+const LISTENERS_PER_GATEWAY = 4;
 
 const folder = process.argv[2] ?? "target";
 const DEPLOY_FILE = "deploy/system.toml";
@@ -37,16 +37,16 @@
   const storeAddress = await store.listen();
   const backend = await startBackend();
   fillStore(store, addressOf(backend));
-  const all = await portsOf(2 * LISTENERS);
-  const ports = all.slice(0, LISTENERS);
-  const peerPorts = all.slice(LISTENERS);
+  const allPorts = await reservePorts(2 * LISTENERS_PER_GATEWAY);
+  const ports = allPorts.slice(0, LISTENERS_PER_GATEWAY);
+  const peerPorts = allPorts.slice(LISTENERS_PER_GATEWAY);
   const peer = await startPeer(storeAddress, {
     ports: peerPorts,
     seeds: ports,
   });
   const child = startChild(storeAddress, { ports, seeds: peerPorts });
-  await untilServing(ports[0] as number);
-  await pause(SETTLE_MS);
+  await waitUntilServing(ports[0] as number);
+  await pause(DISCOVERY_MS);
   await sendRequests(ports[0] as number);
   child.stdin?.end("write");
   const [code] = await once(child, "exit");
@@ -57,8 +57,8 @@
   process.exit(code as number ?? 1);
 }
 
-/** Ports from the operating system; several builds may run at once. */
-async function portsOf(count: number): Promise<number[]> {
+/** Reserves free ports from the operating system, since several builds may run concurrently. */
+async function reservePorts(count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from({ length: count }, async () => {
       const server = createServer();
@@ -72,7 +72,7 @@
   return ports;
 }
 
-function settingsOf(
+function gatewaySettings(
   store: string,
   { ports, seeds }: { ports: number[]; seeds: number[] },
 ): string {
@@ -97,8 +97,8 @@
   store: string,
   at: { ports: number[]; seeds: number[] },
 ): Promise<GatewayProcess> {
-  const settings = decodeVmSettings(settingsOf(store, at));
-  if (!settings.ok) throw new Error("Settings of the warm-up are wrong");
+  const settings = decodeVmSettings(gatewaySettings(store, at));
+  if (!settings.ok) throw new Error("VM settings for warm-up are invalid");
   const gateway = new GatewayProcess({
     vmSettings: { ...settings.value, metricsPort: undefined },
     logger: new SilentLogger(),
@@ -112,7 +112,7 @@
   at: { ports: number[]; seeds: number[] },
 ): ChildProcess {
   const path = `${folder}/warm_up.yaml`;
-  writeFileSync(path, settingsOf(store, at));
+  writeFileSync(path, gatewaySettings(store, at));
   return spawn(
     process.execPath,
     [...deployedFlags(), `${folder}/gateway.cjs`, "--write-code"],
@@ -123,22 +123,24 @@
   );
 }
 
-/** Flags that the program runs with: V8 refuses code that was compiled with others. */
+/** Node.js flags of the deployed gateway: V8 rejects a code cache that was written with other flags. */
 function deployedFlags(): string[] {
   const [, flags] = /^run = "node (.*) target\/gateway\.cjs"$/m.exec(
     readFileSync(DEPLOY_FILE, "utf8"),
   ) ?? [];
   if (flags === undefined) {
-    throw new Error(`${DEPLOY_FILE} does not say how the gateway is run`);
+    throw new Error(
+      `${DEPLOY_FILE} has no run line of the form "node ... target/gateway.cjs"`,
+    );
   }
   return flags.split(" ");
 }
 
-/** A server whose answers are whole, streamed, or not very sure of themselves. */
+/** Starts a backend server that sends plain and streamed responses, half of the latter with low confidence. */
 async function startBackend(): Promise<Server> {
-  let answered = 0;
+  let requestCount = 0;
   const server = createServer((req, res) => {
-    answered += 1;
+    requestCount += 1;
     const attempt = req.headers["fieldrack-attempt-id"] ?? "";
     const stream = req.url?.startsWith("/stream/") === true;
     res.writeHead(200, {
@@ -147,7 +149,7 @@
       ...(stream
         ? {
           "content-type": "text/event-stream",
-          "fieldrack-confidence": String(answered % 2 === 0 ? 20 : 90),
+          "fieldrack-confidence": String(requestCount % 2 === 0 ? 20 : 90),
         }
         : {}),
     });
@@ -165,7 +167,7 @@
 }
 
 function fillStore(store: ObjectStoreStandin, backend: string): void {
-  const route = { Hostname: HOST, Service: "warm", MaxAttempts: 3 };
+  const route = { Hostname: HOSTNAME, Service: "warm", MaxAttempts: 3 };
   store.kinds.put("config", {
     name: "main",
     spec: {
@@ -196,7 +198,7 @@
           Models: [{ Name: "small", Cost: 0.1 }, { Name: "large", Cost: 1 }],
         },
       }],
-      Tenants: [{ Name: "warm", ApiKeys: [KEY] }],
+      Tenants: [{ Name: "warm", ApiKeys: [API_KEY] }],
     },
   });
   for (const name of ["i-1", "i-2"]) {
@@ -214,29 +216,29 @@
   }
 }
 
-/** A busy machine starts the gateway late. */
-async function untilServing(port: number): Promise<void> {
-  const untilMs = Date.now() + START_LIMIT_MS;
-  while (Date.now() < untilMs) {
+/** Waits until the gateway accepts connections, which can take long on a busy machine. */
+async function waitUntilServing(port: number): Promise<void> {
+  const deadlineMs = Date.now() + START_TIMEOUT_MS;
+  while (Date.now() < deadlineMs) {
     try {
       const res = await request(`http://127.0.0.1:${port}/`);
       await res.body.dump();
       return;
     } catch {
-      // It does not listen yet; the limit above ends the wait, and the build says so.
-      await pause(POLL_MS);
+      // Not listening yet. If this still holds after START_TIMEOUT_MS, the warm-up requests fail, and the build reports it.
+      await pause(POLL_INTERVAL_MS);
     }
   }
 }
 
 async function sendRequests(port: number): Promise<void> {
-  for (let at = 0; at < REQUESTS; at++) {
+  for (let index = 0; index < REQUESTS_PER_PATH; index++) {
     for (const path of ["plain", "once", "stream"]) {
-      const res = await request(`http://127.0.0.1:${port}/${path}/${at}`, {
+      const res = await request(`http://127.0.0.1:${port}/${path}/${index}`, {
         headers: {
-          host: HOST,
-          authorization: `Bearer ${KEY}`,
-          "fieldrack-attempt-id": `${path}-${at}`,
+          host: HOSTNAME,
+          authorization: `Bearer ${API_KEY}`,
+          "fieldrack-attempt-id": `${path}-${index}`,
           "fieldrack-deadline-ms": "5000",
           "fieldrack-model": "*",
           "fieldrack-token-usage": "100,10",
--- a/scripts/journal_summary.ts
+++ b/scripts/journal_summary.ts
@@ -1,4 +1,4 @@
-/** Adds up what entries of the journal say of days, so that rounds are judged alike. */
+/** Summarizes the days in journal entries, so that all rounds are compared by the same figures. */
 
 import * as z from "zod";
 
@@ -6,11 +6,11 @@
 
 const daySchema = z.object({
   name: z.string(),
-  /** Worth of the day, all parts less all prices. */
+  /** Score of the day: the sum of all parts minus the sum of all prices. */
   G: z.number(),
-  /** Name, weight and credit of each part. */
+  /** Name, weight and score of each part. */
   parts: amounts,
-  /** Name, amount and worth of each price. */
+  /** Name, amount and deducted score of each price. */
   prices: amounts,
   rules: z.record(z.string(), z.unknown()),
   fault: z.string().nullable(),
@@ -27,39 +27,40 @@
 export type JournalEntry = z.infer<typeof entrySchema>;
 type Day = z.infer<typeof daySchema>;
 
-/** Days drawn at random carry names of their own; the standard ones are told apart. */
-const STANDARD = /^(quiet|trouble|scale)-\d+$/;
-const CALM = /^quiet-/;
-/** Prices below this are left out of a summary. */
-const LEAST_PRICE = 0.005;
+/** Names of the standard days; days drawn at random have other names and are left out. */
+const STANDARD_DAY = /^(quiet|trouble|scale)-\d+$/;
+const QUIET_DAY = /^quiet-/;
+/** Prices with a lower mean are left out of a summary. */
+const MIN_MEAN_PRICE = 0.005;
 
-/** Mean and standard deviation of some days. */
+/** Mean and sample standard deviation of a set of figures. */
 export interface Spread {
   readonly count: number;
   readonly mean: number;
   readonly deviation: number;
 }
 
-/** Decodes an entry; throws with the place of the mistake. */
+/** Decodes an entry; throws an error that contains the path of the invalid field. */
 export function readEntry(text: string): JournalEntry {
   return entrySchema.parse(JSON.parse(text));
 }
 
-/** Returns lines that sum the entries of one site up. */
+/** Returns the lines of a summary over the entries of one site. */
 export function summarize(entries: readonly JournalEntry[]): string[] {
   const days = entries.flatMap((entry) => entry.days)
-    .filter(({ name }) => STANDARD.test(name));
+    .filter(({ name }) => STANDARD_DAY.test(name));
   const names = [...new Set(days.map(({ name }) => name))].sort();
-  const troubled = days.filter(({ name }) => !CALM.test(name));
+  const daysWithTrouble = days.filter(({ name }) => !QUIET_DAY.test(name));
   return [
     ...names.map((name) => dayLine(name, days)),
-    `days with trouble: ${spreadText(spreadOf(troubled.map(({ G }) => G)))}`,
-    `  of it: ${partsText(troubled)}`,
-    `  less: ${pricesText(troubled)}`,
+    `days with trouble: ${
+      spreadText(spreadOf(daysWithTrouble.map(({ G }) => G)))
+    }`,
+    `  of it: ${partsText(daysWithTrouble)}`,
+    `  less: ${pricesText(daysWithTrouble)}`,
   ];
 }
 
-/** Mean and spread of some figures. */
 export function spreadOf(figures: readonly number[]): Spread {
   const count = figures.length;
   const mean = figures.reduce((sum, figure) => sum + figure, 0) /
@@ -71,12 +72,14 @@
 
 function dayLine(name: string, days: readonly Day[]): string {
   const same = days.filter((day) => day.name === name);
-  const broken = same.filter(isBroken).length;
-  const note = broken === 0 ? "" : `, ${broken} broke a rule or failed`;
+  const failedCount = same.filter(failedOrBrokeRule).length;
+  const note = failedCount === 0
+    ? ""
+    : `, ${failedCount} broke a rule or failed`;
   return `${name}: ${spreadText(spreadOf(same.map(({ G }) => G)))}${note}`;
 }
 
-function isBroken({ rules, fault }: Day): boolean {
+function failedOrBrokeRule({ rules, fault }: Day): boolean {
   return fault !== null || Object.keys(rules).length > 0;
 }
 
@@ -91,7 +94,7 @@
 
 function pricesText(days: readonly Day[]): string {
   return meansOf(days, ({ prices }) => prices)
-    .filter(([, mean]) => mean >= LEAST_PRICE)
+    .filter(([, mean]) => mean >= MIN_MEAN_PRICE)
     .sort((a, b) => b[1] - a[1])
     .map(([name, mean]) => `${name} ${mean.toFixed(3)}`).join(", ");
 }
@@ -102,8 +105,8 @@
 ): [string, number][] {
   const sums = new Map<string, number>();
   for (const day of days) {
-    for (const [name, , worth] of amountsOf(day)) {
-      sums.set(name, (sums.get(name) ?? 0) + worth);
+    for (const [name, , score] of amountsOf(day)) {
+      sums.set(name, (sums.get(name) ?? 0) + score);
     }
   }
   return [...sums].map(([name, sum]) => [name, sum / days.length]);
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -1,19 +1,19 @@
-/** Tests and proofs that fail for a known fault, as KNOWN-RED.txt lists them. */
+/** Tests and proofs that fail because of a known fault, listed in KNOWN-RED.txt. */
 
 import { existsSync, readFileSync } from "node:fs";
 
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
-/** Faults that may land at once; more are to be mended first. */
-const MOST_LISTED = 3;
+/** Maximum number of listed faults with which a run may pass; beyond it, faults must be fixed first. */
+const MAX_KNOWN_FAULTS = 3;
 
-/** Returns the lines of the list; each begins with `KIND NAME:`. */
+/** Returns the lines of the list, each of which begins with `KIND NAME:`. */
 export function readKnownRed(): string[] {
   if (!existsSync(KNOWN_RED_FILE)) return [];
   return readFileSync(KNOWN_RED_FILE, "utf8").split("\n")
     .filter((line) => line.trim() !== "");
 }
 
-/** Returns the line that lists a test or proof, if one does. */
+/** Returns the line that lists the given test or proof, if there is one. */
 export function knownRedLine(
   lines: readonly string[],
   { kind, name }: { kind: "test" | "prove"; name: string },
@@ -21,27 +21,31 @@
   return lines.find((line) => line.startsWith(`${kind} ${name}:`));
 }
 
-/** How a run of tests is judged. */
-export interface Verdict {
+/** Result of a test run after known faults were taken into account. */
+export interface RunEvaluation {
   readonly ok: boolean;
-  /** Lines of the list whose tests failed, as they may. */
+  /** Lines of the list whose tests failed. */
   readonly passedOver: readonly string[];
 }
 
 /**
- * Judges a run by the exit code of its runner and the names of the tests that failed. A
- * run passes with failures only if every one of them is listed, and the list is short.
+ * Evaluates a run by the exit code of its runner and the names of the failed tests. A run with
+ * failures passes only if each failed test is listed and the list has at most `MAX_KNOWN_FAULTS` lines.
  */
-export function judgeRun(
+export function evaluateRun(
   lines: readonly string[],
   { exitCode, failed }: { exitCode: number | null; failed: readonly string[] },
-): Verdict {
-  const known = failed.map((name) =>
+): RunEvaluation {
+  const listedLines = failed.map((name) =>
     knownRedLine(lines, { kind: "test", name })
   );
-  const passedOver = known.filter((line) => line !== undefined);
-  const allKnown = failed.length > 0 && passedOver.length === failed.length &&
-    lines.length <= MOST_LISTED;
-  // The runner ends with 1 for tests that failed; any other code is a fault of the run.
-  return { ok: exitCode === 0 || (exitCode === 1 && allKnown), passedOver };
+  const passedOver = listedLines.filter((line) => line !== undefined);
+  const onlyKnownFailures = failed.length > 0 &&
+    passedOver.length === failed.length &&
+    lines.length <= MAX_KNOWN_FAULTS;
+  // The runner exits with 1 if tests failed; any other non-zero code means that the run itself failed.
+  return {
+    ok: exitCode === 0 || (exitCode === 1 && onlyKnownFailures),
+    passedOver,
+  };
 }
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -1,14 +1,14 @@
-/** Runs the tests of the whole tree, or those whose path holds one of the arguments. */
+/** Runs all tests, or those whose path contains one of the arguments. */
 
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, readdirSync, readFileSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import process from "node:process";
-import { judgeRun, readKnownRed } from "./known_red.ts";
+import { evaluateRun, readKnownRed } from "./known_red.ts";
 
 const ROOTS = ["src", "tests", "prove", "soak"];
-const wanted = process.argv.slice(2);
+const pathFilters = process.argv.slice(2);
 
 const files = ROOTS
   .flatMap((root) =>
@@ -16,12 +16,12 @@
   )
   .filter((file) => file.endsWith("_test.ts"))
   .filter((file) =>
-    wanted.length === 0 || wanted.some((part) => file.includes(part))
+    pathFilters.length === 0 || pathFilters.some((part) => file.includes(part))
   )
   .sort();
 
-const directory = mkdtempSync(join(tmpdir(), "fieldrack-tests-"));
-const failedFile = join(directory, "failed");
+const reportFolder = mkdtempSync(join(tmpdir(), "fieldrack-tests-"));
+const failedTestsFile = join(reportFolder, "failed");
 const args = [
   "--import",
   "tsx",
@@ -29,20 +29,20 @@
   "--test-reporter=spec",
   "--test-reporter-destination=stdout",
   "--test-reporter=./scripts/failed_tests_reporter.mjs",
-  `--test-reporter-destination=${failedFile}`,
+  `--test-reporter-destination=${failedTestsFile}`,
   "--test-concurrency=4",
-  // A hang guard: a test that waits for ever would hold CI up for as long.
+  // Without a timeout, a test that hangs would block CI indefinitely.
   "--test-timeout=300000",
 ];
 const { status } = spawnSync(process.execPath, [...args, ...files], {
   stdio: "inherit",
 });
-const failed = readFileSync(failedFile, "utf8").split("\n")
+const failed = readFileSync(failedTestsFile, "utf8").split("\n")
   .filter((line) => line !== "")
   .map((line) => JSON.parse(line) as string);
-rmSync(directory, { recursive: true });
+rmSync(reportFolder, { recursive: true });
 
-const { ok, passedOver } = judgeRun(readKnownRed(), {
+const { ok, passedOver } = evaluateRun(readKnownRed(), {
   exitCode: status,
   failed,
 });
--- a/scripts/summarize_journal.ts
+++ b/scripts/summarize_journal.ts
@@ -1,4 +1,4 @@
-/** Prints mean and spread of the days in some entries of the journal, by site. */
+/** Prints mean and standard deviation of the days in the given journal entries, for each site. */
 
 import { readFileSync } from "node:fs";
 import process from "node:process";
@@ -6,12 +6,14 @@
 
 function main(files: readonly string[]): void {
   if (files.length === 0) {
-    console.error("Name entries: npm run journal -- journal/FILE.json...");
+    console.error(
+      "No journal entries given. Usage: npm run journal -- journal/FILE.json...",
+    );
     process.exit(2);
   }
   const bySite = new Map<string, JournalEntry[]>();
   for (const file of files) {
-    const entry = read(file);
+    const entry = readEntryFile(file);
     if (entry.site === null) continue;
     bySite.set(entry.site, [...bySite.get(entry.site) ?? [], entry]);
   }
@@ -21,11 +23,13 @@
   }
 }
 
-function read(file: string): JournalEntry {
+function readEntryFile(file: string): JournalEntry {
   try {
     return readEntry(readFileSync(file, "utf8"));
   } catch (err) {
-    console.error(`${file} is no entry: ${(err as Error).message}`);
+    console.error(
+      `${file} is not a valid journal entry: ${(err as Error).message}`,
+    );
     process.exit(1);
   }
 }
--- a/scripts/undici_parts.cjs
+++ b/scripts/undici_parts.cjs
@@ -1,5 +1,5 @@
-// The parts of undici that the program uses. Its main module loads fetch, caches and web
-// sockets as well, which cost each small VM some 10 MB and a tenth of a second at start.
+// Exports only those parts of undici that the program uses. The main module of undici also loads
+// fetch, caches and WebSockets, which cost a small VM about 10 MB of memory and 0.1 s at start.
 const Dispatcher = require(
   "../node_modules/undici/lib/dispatcher/dispatcher.js",
 );
@@ -12,7 +12,7 @@
 
 let sharedAgent;
 
-/** As undici's own `request`. */
+/** Equivalent of `request` in undici. */
 function request(url, { dispatcher, ...options } = {}) {
   dispatcher ??= sharedAgent ??= new Agent();
   const { origin, pathname, search } = new URL(url);
--- a/scripts/write_reference.ts
+++ b/scripts/write_reference.ts
@@ -1,4 +1,4 @@
-/** Writes docs/CONFIGURATION.md from the schemas; with --check only compares. */
+/** Generates docs/CONFIGURATION.md from the schemas; with --check, only verifies that the file is up to date. */
 
 import { readFileSync, writeFileSync } from "node:fs";
 import process from "node:process";
@@ -8,14 +8,14 @@
 
 const FILE = "docs/CONFIGURATION.md";
 
-interface Node {
+interface JsonSchemaNode {
   readonly type?: string;
   readonly enum?: readonly string[];
   readonly description?: string;
   readonly default?: unknown;
-  readonly properties?: Record<string, Node>;
+  readonly properties?: Record<string, JsonSchemaNode>;
   readonly required?: readonly string[];
-  readonly items?: Node;
+  readonly items?: JsonSchemaNode;
 }
 
 function main(): void {
@@ -32,7 +32,9 @@
   ].join("\n\n") + "\n";
   if (!process.argv.includes("--check")) return writeFileSync(FILE, text);
   if (readFileSync(FILE, "utf8") === text) return;
-  console.error(`${FILE} is not what the schemas say; run npm run reference`);
+  console.error(
+    `${FILE} is out of date with the schemas; run npm run reference`,
+  );
   process.exit(1);
 }
 
@@ -40,39 +42,42 @@
   const node = z.toJSONSchema(schema, {
     io: "input",
     unrepresentable: "any",
-  }) as Node;
-  const rows = rowsOf(node, "");
+  }) as JsonSchemaNode;
+  const rows = tableRows(node, "");
   return ["| key | type | default | meaning |", "|---|---|---|---|", ...rows]
     .join("\n");
 }
 
-function rowsOf(node: Node, prefix: string): string[] {
+function tableRows(node: JsonSchemaNode, prefix: string): string[] {
   return Object.entries(node.properties ?? {}).flatMap(([name, child]) => {
     const key = `${prefix}${name}`;
     const inner = child.items?.properties === undefined
-      ? rowsOf(child, `${key}.`)
-      : rowsOf(child.items, `${key}[].`);
+      ? tableRows(child, `${key}.`)
+      : tableRows(child.items, `${key}[].`);
     if (inner.length > 0) return inner;
     const required = node.required?.includes(name) === true;
     return [
-      `| \`${key}\` | ${typeOf(child)} | ${defaultOf(child, required)} | ${
+      `| \`${key}\` | ${typeText(child)} | ${defaultText(child, required)} | ${
         child.description ?? ""
       } |`,
     ];
   });
 }
 
-function typeOf({ type, enum: values, items }: Node): string {
+function typeText({ type, enum: values, items }: JsonSchemaNode): string {
   if (values !== undefined) {
     return values.map((value) => `\`${value}\``).join(", ");
   }
   if (items === undefined) return type ?? "any";
   return `list of ${
-    items.enum === undefined ? items.type ?? "any" : typeOf(items)
+    items.enum === undefined ? items.type ?? "any" : typeText(items)
   }`;
 }
 
-function defaultOf({ default: value }: Node, required: boolean): string {
+function defaultText(
+  { default: value }: JsonSchemaNode,
+  required: boolean,
+): string {
   if (value !== undefined) return `\`${JSON.stringify(value)}\``;
   return required ? "required" : "none";
 }
--- a/tests/known_red_test.ts
+++ b/tests/known_red_test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { judgeRun } from "../scripts/known_red.ts";
+import { evaluateRun } from "../scripts/known_red.ts";
 
 const LINES = ["test should stay whole: cut by news (issue 1)"];
 
 describe("known red tests", () => {
   it("should be passed over, and named, where they alone failed", () => {
     const run = { exitCode: 1, failed: ["should stay whole"] };
-    assert.deepEqual(judgeRun(LINES, run), { ok: true, passedOver: LINES });
+    assert.deepEqual(evaluateRun(LINES, run), { ok: true, passedOver: LINES });
   });
 
   it("should excuse no other test", () => {
@@ -16,25 +16,25 @@
         "",
       ]]
     ) {
-      assert.equal(judgeRun(LINES, { exitCode: 1, failed }).ok, false);
+      assert.equal(evaluateRun(LINES, { exitCode: 1, failed }).ok, false);
     }
   });
 
   it("should excuse nothing while the list is longer than may land", () => {
     const lines = [...LINES, "test a: b", "test c: d", "test e: f"];
     const run = { exitCode: 1, failed: ["should stay whole"] };
-    assert.equal(judgeRun(lines, run).ok, false);
+    assert.equal(evaluateRun(lines, run).ok, false);
   });
 
   it("should excuse no run that failed without a failed test", () => {
-    assert.equal(judgeRun(LINES, { exitCode: 1, failed: [] }).ok, false);
+    assert.equal(evaluateRun(LINES, { exitCode: 1, failed: [] }).ok, false);
     const failed = ["should stay whole"];
-    assert.equal(judgeRun(LINES, { exitCode: 7, failed }).ok, false);
-    assert.equal(judgeRun(LINES, { exitCode: null, failed }).ok, false);
+    assert.equal(evaluateRun(LINES, { exitCode: 7, failed }).ok, false);
+    assert.equal(evaluateRun(LINES, { exitCode: null, failed }).ok, false);
   });
 
   it("should pass a run without failures", () => {
-    assert.deepEqual(judgeRun(LINES, { exitCode: 0, failed: [] }), {
+    assert.deepEqual(evaluateRun(LINES, { exitCode: 0, failed: [] }), {
       ok: true,
       passedOver: [],
     });
