--- a/bench/choice_cost.ts
+++ b/bench/choice_cost.ts
@@ -1,4 +1,4 @@
-/** Cost of one choice of a server, by the number of servers. */
+/** CPU cost of choosing a backend server, by the number of candidate servers. */
 
 import { performance } from "node:perf_hooks";
 import type { DataCentreId } from "../src/core/ids.ts";
@@ -9,28 +9,34 @@
 import { unitHash } from "../src/runtime/hashing.ts";
 import { serverRecord } from "../tests/fixtures/server_record.ts";
 
-const SIZES: readonly number[] = [8, 100, 550];
+const SERVER_COUNTS: readonly number[] = [8, 100, 550];
 const DATA_CENTRES = 3;
-const CHOICES = 2_000;
-/** Prompts that the choices are for; some ten of each. */
-const PROMPTS = 200;
+const CHOICE_COUNT = 2_000;
+/** Number of distinct prompts, so that each occurs about ten times in a pass. */
+const PROMPT_COUNT = 200;
 const SHARED_MS = 300;
 const US_PER_MS = 1_000;
 
-/** Prints the time of a choice, for prompts that a server holds and that none holds. */
+/** Prints the time of one choice, for prompts whose prefix a server holds in its cache and for others. */
 export function benchChoice(): void {
-  const rows = SIZES.map((size) => [
-    `${size} servers`,
+  const rows = SERVER_COUNTS.map((serverCount) => [
+    `${serverCount} servers`,
     {
-      "held, µs": microseconds(size, { held: true }),
-      "not held, µs": microseconds(size, { held: false }),
+      "held, µs": measureChoiceUs(serverCount, { held: true }),
+      "not held, µs": measureChoiceUs(serverCount, { held: false }),
     },
   ]);
   console.table(Object.fromEntries(rows));
 }
 
-function microseconds(size: number, { held }: { held: boolean }): number {
-  const candidates = Array.from({ length: size }, (_, at) => server(at));
+function measureChoiceUs(
+  serverCount: number,
+  { held }: { held: boolean },
+): number {
+  const candidates = Array.from(
+    { length: serverCount },
+    (_, index) => createServer(index),
+  );
   const promptHolders = new PromptHolders();
   const choice = new AffinityChoice({
     serverLoads: new ServerLoads(),
@@ -38,8 +44,8 @@
     unitHash,
     chance: () => 0.5,
   });
-  const choose = (n: number) => {
-    const affinity = `prompt-${n % PROMPTS}`;
+  const chooseServer = (n: number) => {
+    const affinity = `prompt-${n % PROMPT_COUNT}`;
     const chosen = choice.choose({
       candidates,
       affinity,
@@ -52,16 +58,16 @@
     if (!held || chosen === undefined) return;
     promptHolders.recordSent({ key: affinity, instance: chosen.instance }, 0);
   };
-  for (let n = 0; n < CHOICES; n++) choose(n);
+  for (let n = 0; n < CHOICE_COUNT; n++) chooseServer(n);
   const startedMs = performance.now();
-  for (let n = 0; n < CHOICES; n++) choose(n);
+  for (let n = 0; n < CHOICE_COUNT; n++) chooseServer(n);
   const ms = performance.now() - startedMs;
-  return Math.round(US_PER_MS * ms / CHOICES * 10) / 10;
+  return Math.round(US_PER_MS * ms / CHOICE_COUNT * 10) / 10;
 }
 
-function server(at: number): ServerRecord {
-  return serverRecord(`i-${at}`, {
-    dataCentre: `dc-${at % DATA_CENTRES}` as DataCentreId,
+function createServer(index: number): ServerRecord {
+  return serverRecord(`i-${index}`, {
+    dataCentre: `dc-${index % DATA_CENTRES}` as DataCentreId,
     slots: 64,
   });
 }
--- a/bench/core_slopes.ts
+++ b/bench/core_slopes.ts
@@ -1,4 +1,4 @@
-/** Cost of the core's structures at the two-year size, in one process. */
+/** Cost of the data structures in src/core at the two-year size, in one process. */
 
 import { Buffer } from "node:buffer";
 import { performance } from "node:perf_hooks";
@@ -19,55 +19,61 @@
   withChange,
 } from "./two_year_size.ts";
 
-const REPEATS = 50;
+const REPEAT_COUNT = 50;
 const BYTES_PER_MB = 1_048_576;
 
-/** Prints what the structures cost. */
+/** Prints time, memory and message sizes of the data structures. */
 export function benchCore(): void {
   const cfg = largeConfiguration();
   const objects = splitConfiguration(cfg, sha256);
-  const refs = objects.map(({ ref }) => ref);
+  const objectRefs = objects.map(({ ref }) => ref);
   const head = nextHead(undefined, {
-    objects: refs,
+    objects: objectRefs,
     applyId: "a".repeat(36),
     nowMs: 0,
   });
-  const changed = splitConfiguration(withChange(cfg, 1), sha256);
-  const changedRefs = changed.map(({ ref }) => ref);
-  const next = nextHead(head, {
+  const changedObjects = splitConfiguration(withChange(cfg, 1), sha256);
+  const changedRefs = changedObjects.map(({ ref }) => ref);
+  const changedHead = nextHead(head, {
     objects: changedRefs,
     applyId: "b".repeat(36),
     nowMs: 0,
   });
-  const known = new Set(refs.map(({ sha256 }) => sha256));
-  const fresh = changed.filter(({ ref }) => !known.has(ref.sha256));
-  const size = (value: unknown) => Buffer.byteLength(JSON.stringify(value));
+  const knownHashes = new Set(objectRefs.map(({ sha256 }) => sha256));
+  const newObjects = changedObjects.filter(({ ref }) =>
+    !knownHashes.has(ref.sha256)
+  );
+  const jsonBytes = (value: unknown) =>
+    Buffer.byteLength(JSON.stringify(value));
   console.table({
     "objects of the configuration": { value: objects.length, unit: "" },
-    "whole head": { value: size(head), unit: "bytes" },
-    "changes of a head": { value: size(diffHeads(head, next)), unit: "bytes" },
+    "whole head": { value: jsonBytes(head), unit: "bytes" },
+    "changes of a head": {
+      value: jsonBytes(diffHeads(head, changedHead)),
+      unit: "bytes",
+    },
     "objects of one change": {
-      value: fresh.reduce((sum, { text }) => sum + text.length, 0),
+      value: newObjects.reduce((sum, { text }) => sum + text.length, 0),
       unit: "bytes",
     },
     "whole configuration": {
       value: objects.reduce((sum, { text }) => sum + text.length, 0),
       unit: "bytes",
     },
-    "split for apply": timed(() => splitConfiguration(cfg, sha256)),
-    "index of a revision": timed(() =>
+    "split for apply": measureTime(() => splitConfiguration(cfg, sha256)),
+    "index of a revision": measureTime(() =>
       new ConfigurationIndex(1 as Revision, cfg)
     ),
     "memory of an index": {
       value: round(
-        memoryOf(() =>
+        measureMemoryMb(() =>
           new ConfigurationIndex(1 as Revision, largeConfiguration())
         ),
       ),
       unit: "MB",
     },
     ...membershipCosts(),
-    "subset of servers": timed(() =>
+    "subset of servers": measureTime(() =>
       chooseSubset(cfg.backends, {
         entry: "e" as EntryId,
         dataCentre: "dc-1" as DataCentreId,
@@ -81,14 +87,14 @@
 function membershipCosts() {
   const members = Array.from(
     { length: TWO_YEAR_SIZE.entries },
-    (_, at) => member(at),
+    (_, index) => createMember(index),
   );
-  const table = new MemberTable(member(-1));
+  const table = new MemberTable(createMember(-1));
   table.merge(members, 0);
-  const news = members.slice(0, 9);
+  const updates = members.slice(0, 9);
   return {
-    "one probe, asked or answered": timed(() => {
-      table.merge(news, 0);
+    "one probe, asked or answered": measureTime(() => {
+      table.merge(updates, 0);
       table.nextGossip();
       table.expire(0, { keepDead: false });
     }),
@@ -96,42 +102,44 @@
       value: Buffer.byteLength(JSON.stringify(table.everyone())),
       unit: "bytes",
     },
-    "choice of relays": timed(() =>
-      selectRelays(member(-1), { members, unitHash })
+    "choice of relays": measureTime(() =>
+      selectRelays(createMember(-1), { members, unitHash })
     ),
   };
 }
 
-function member(at: number): Member {
+function createMember(index: number): Member {
   return {
-    id: `entry-${at}` as EntryId,
-    data_centre: `dc-${(at + 7) % TWO_YEAR_SIZE.dataCentres}` as DataCentreId,
-    callers: `10.0.0.${at}:8080`,
-    peers: `10.0.0.${at}:8081`,
+    id: `entry-${index}` as EntryId,
+    data_centre: `dc-${
+      (index + 7) % TWO_YEAR_SIZE.dataCentres
+    }` as DataCentreId,
+    callers: `10.0.0.${index}:8080`,
+    peers: `10.0.0.${index}:8081`,
     incarnation: 1_796_000_000_000,
     state: "alive",
     revision: 1 as Revision,
   };
 }
 
-function timed(work: () => unknown): { value: number; unit: string } {
+function measureTime(work: () => unknown): { value: number; unit: string } {
   work();
   const startedMs = performance.now();
-  for (let repeat = 0; repeat < REPEATS; repeat++) work();
+  for (let repeat = 0; repeat < REPEAT_COUNT; repeat++) work();
   return {
-    value: round((performance.now() - startedMs) / REPEATS),
+    value: round((performance.now() - startedMs) / REPEAT_COUNT),
     unit: "ms",
   };
 }
 
-function memoryOf(build: () => unknown): number {
-  const COPIES = 10;
+function measureMemoryMb(build: () => unknown): number {
+  const COPY_COUNT = 10;
   globalThis.gc?.();
-  const before = process.memoryUsage().heapUsed;
-  const kept = Array.from({ length: COPIES }, build);
+  const usedBefore = process.memoryUsage().heapUsed;
+  const copies = Array.from({ length: COPY_COUNT }, build);
   globalThis.gc?.();
-  const used = process.memoryUsage().heapUsed - before;
-  return kept.length === COPIES ? used / COPIES / BYTES_PER_MB : 0;
+  const used = process.memoryUsage().heapUsed - usedBefore;
+  return copies.length === COPY_COUNT ? used / COPY_COUNT / BYTES_PER_MB : 0;
 }
 
 function round(value: number): number {
--- a/bench/fleet_slopes.ts
+++ b/bench/fleet_slopes.ts
@@ -1,4 +1,4 @@
-/** Cost of control for each entry, as the fleet and the changes grow. */
+/** Control-plane cost for each entry, by fleet size and rate of configuration changes. */
 
 import { pause } from "../src/runtime/pause.ts";
 import { performance } from "node:perf_hooks";
@@ -20,13 +20,13 @@
   withChange,
 } from "./two_year_size.ts";
 
-const SETTLE_MS = 4_000;
-const QUIET_MS = 10_000;
-const CHANGES = 20;
-const CHANGE_EVERY_MS = 500;
+const WARM_UP_MS = 4_000;
+const IDLE_PERIOD_MS = 10_000;
+const CHANGE_COUNT = 20;
+const CHANGE_INTERVAL_MS = 500;
 const TIMEOUT_MS = 5_000;
 
-/** What one entry used, at most and on average, while something went on. */
+/** Resource usage of an entry during a measured period: the mean over all entries and the maximum. */
 interface Usage {
   readonly cpuMsPerSecond: number;
   readonly worstCpuMsPerSecond: number;
@@ -34,7 +34,7 @@
   readonly peerBytesPerSecond: number;
   readonly worstPeerBytesPerSecond: number;
   readonly platformBytesPerSecond: number;
-  /** Calls of the whole fleet; a waiting watch is one. */
+  /** Calls by the whole fleet; a pending watch counts as one call. */
   readonly platformCallsPerSecond: number;
 }
 
@@ -46,23 +46,26 @@
   readonly platformCalls: number;
 }
 
-/** Measures fleets of each size, quiet and in change. */
+/** Measures fleets of the given sizes, without and with configuration changes, and prints the results. */
 export async function benchFleet(sizes: readonly number[]): Promise<void> {
   const rows = [];
   for (const size of sizes) {
     const cfg = largeConfiguration();
     const fleet = await startFleet(size, cfg);
     try {
-      await pause(SETTLE_MS);
-      const quiet = await usageDuring(fleet, () => pause(QUIET_MS));
+      await pause(WARM_UP_MS);
+      const quiet = await measureUsage(fleet, () => pause(IDLE_PERIOD_MS));
       const latencies: number[] = [];
-      const change = await usageDuring(fleet, async () => {
+      const change = await measureUsage(fleet, async () => {
         latencies.push(...await applyChanges(fleet, cfg));
       });
       latencies.sort((a, b) => a - b);
-      rows.push(row("quiet", { size, usage: quiet }));
+      rows.push(resultRow("quiet", { size, usage: quiet }));
       rows.push({
-        ...row(`${1_000 / CHANGE_EVERY_MS} changes/s`, { size, usage: change }),
+        ...resultRow(`${1_000 / CHANGE_INTERVAL_MS} changes/s`, {
+          size,
+          usage: change,
+        }),
         "in force p50 ms": latencies[Math.floor(latencies.length / 2)],
         "in force worst ms": latencies[latencies.length - 1],
       });
@@ -79,9 +82,9 @@
 ): Promise<TestFleet> {
   const { backends: _, ...configuration } = cfg;
   const fleet = await TestFleet.start({
-    entries: Array.from({ length: size }, (_, at) => ({
-      id: `entry-${at}`,
-      data_centre: `dc-${at % TWO_YEAR_SIZE.dataCentres}`,
+    entries: Array.from({ length: size }, (_, index) => ({
+      id: `entry-${index}`,
+      data_centre: `dc-${index % TWO_YEAR_SIZE.dataCentres}`,
     })),
     backends: [],
     configuration: configuration as unknown as Record<string, unknown>,
@@ -92,7 +95,7 @@
   return fleet;
 }
 
-/** Returns, for each change, the time until it was in force on every entry. */
+/** Applies changes and returns, for each, the time in ms until it was in force on every entry. */
 async function applyChanges(
   fleet: TestFleet,
   cfg: Configuration,
@@ -102,8 +105,8 @@
     timeoutMs: TIMEOUT_MS,
   });
   const applier = new Applier({ platform, clock: new SystemClock() });
-  const acceptedAt = new Map<number, number>();
-  for (let change = 0; change < CHANGES; change++) {
+  const acceptedAtMs = new Map<number, number>();
+  for (let change = 0; change < CHANGE_COUNT; change++) {
     const deadline = new Deadline(TIMEOUT_MS);
     const configuration = withChange(cfg, change);
     const outcome = await applier.apply({
@@ -113,28 +116,30 @@
     });
     deadline.close();
     if (outcome.tag !== "accepted") {
-      throw new Error(`Change was not accepted: ${outcome.tag}`);
+      throw new Error(
+        `Configuration change was not accepted; outcome: ${outcome.tag}`,
+      );
     }
-    acceptedAt.set(outcome.revision, Date.now());
-    await pause(CHANGE_EVERY_MS);
+    acceptedAtMs.set(outcome.revision, Date.now());
+    await pause(CHANGE_INTERVAL_MS);
   }
   await platform.close();
-  const last = Math.max(...acceptedAt.keys());
+  const lastRevision = Math.max(...acceptedAtMs.keys());
   const entries = [...fleet.entries.values()];
   await until(() =>
     Promise.resolve(
-      entries.every((entry) => inForceAt(entry, last) !== undefined),
+      entries.every((entry) => inForceAt(entry, lastRevision) !== undefined),
     )
   );
-  return [...acceptedAt].map(([revision, atMs]) => {
+  return [...acceptedAtMs].map(([revision, atMs]) => {
     const times = entries.map((entry) => inForceAt(entry, revision) ?? 0);
     return Math.max(0, Math.max(...times) - atMs);
   });
 }
 
-/** When an entry logged that it had this revision or a later one in force. */
+/** Returns the time at which the entry logged that this or a later revision was in force. */
 function inForceAt(entry: RunningEntry, revision: number): number | undefined {
-  // What follows the last line break may be half a line.
+  // The text after the last line break may be an incomplete line.
   const lines = entry.process.stderr.split("\n").slice(0, -1).map((line) =>
     JSON.parse(line)
   );
@@ -144,17 +149,17 @@
   return line?.time;
 }
 
-async function usageDuring(
+async function measureUsage(
   fleet: TestFleet,
-  work: () => Promise<void>,
+  action: () => Promise<void>,
 ): Promise<Usage> {
-  const before = await sample(fleet);
-  await work();
-  const after = await sample(fleet);
+  const before = await takeSample(fleet);
+  await action();
+  const after = await takeSample(fleet);
   const seconds = (after.atMs - before.atMs) / 1_000;
   const rates = (figure: "cpu" | "peerBytes" | "platformBytes") =>
-    after[figure].map((value, at) =>
-      (value - (before[figure][at] ?? 0)) / seconds
+    after[figure].map((value, index) =>
+      (value - (before[figure][index] ?? 0)) / seconds
     );
   const memory = [...fleet.entries.values()].map(({ process }) =>
     memoryMb(process.pid)
@@ -171,9 +176,9 @@
   };
 }
 
-async function sample(fleet: TestFleet): Promise<Sample> {
+async function takeSample(fleet: TestFleet): Promise<Sample> {
   const entries = [...fleet.entries.values()];
-  const traffic = await Promise.all(entries.map(controlBytes));
+  const traffic = await Promise.all(entries.map(readControlBytes));
   const counts = await getJson(`${fleet.platformUrl}/counts`);
   return {
     atMs: performance.now(),
@@ -185,7 +190,7 @@
   };
 }
 
-async function controlBytes(
+async function readControlBytes(
   entry: RunningEntry,
 ): Promise<{ peers: number; platform: number }> {
   const res = await fetch(`http://${entry.operators}/metrics`);
@@ -198,7 +203,10 @@
   return { peers: sum("peers"), platform: sum("platform") };
 }
 
-function row(what: string, { size, usage }: { size: number; usage: Usage }) {
+function resultRow(
+  what: string,
+  { size, usage }: { size: number; usage: Usage },
+) {
   return {
     entries: size,
     what,
--- a/bench/gateway_slopes.ts
+++ b/bench/gateway_slopes.ts
@@ -1,44 +1,45 @@
-/** What a quiet fleet of gateways costs, and how that grows with its size. */
+/** Cost of a gateway fleet without requests, by the number of VMs. */
 
 import process from "node:process";
 import { pause } from "../src/runtime/pause.ts";
 import { GatewayFleet } from "../tests/fixtures/gateway_fleet.ts";
 
-/** Below and above the size from which a fleet has relays. */
+/** Fleet sizes in VMs, below and above the size from which a fleet uses relays. */
 const SIZES = [7, 12, 28, 56];
-/** Time to find each other, and for relays to be followed. */
-const SETTLE_MS = 8_000;
-const QUIET_MS = 20_000;
+/** Time for the gateways to discover each other and to start using relays. */
+const DISCOVERY_MS = 8_000;
+const IDLE_PERIOD_MS = 20_000;
 const MS_PER_SECOND = 1_000;
 
-/** Prints calls of the store and processor time of quiet fleets in one data centre. */
+/** Prints calls to the store and CPU time of fleets without requests, in one data centre. */
 export async function benchGateways(): Promise<void> {
   const rows: Record<string, object> = {};
-  for (const vms of SIZES) rows[`${vms} VMs`] = await quietFleet(vms);
+  for (const vms of SIZES) rows[`${vms} VMs`] = await idleFleet(vms);
   console.table(rows);
   console.log(
-    "All VMs run in one process with the store's stand-in, whose processor time counts.",
+    "All VMs run in one process with the stand-in of the store, whose CPU time is included.",
   );
 }
 
-async function quietFleet(vms: number): Promise<object> {
+/** Starts a fleet and returns the figures of one row. */
+async function idleFleet(vms: number): Promise<object> {
   const fleet = new GatewayFleet();
   try {
     await fleet.start(vms);
-    const startCalls = fleet.store.calls;
-    await pause(SETTLE_MS);
-    const settled = fleet.store.calls;
-    const before = process.cpuUsage();
-    await pause(QUIET_MS);
-    const { user, system } = process.cpuUsage(before);
-    // Microseconds of processor time become milliseconds for each second and VM.
-    const perVm = QUIET_MS * vms;
+    const callsAtStart = fleet.store.calls;
+    await pause(DISCOVERY_MS);
+    const callsAfterDiscovery = fleet.store.calls;
+    const cpuBefore = process.cpuUsage();
+    await pause(IDLE_PERIOD_MS);
+    const { user, system } = process.cpuUsage(cpuBefore);
+    // Microseconds of CPU time per millisecond of wall time equal milliseconds per second.
+    const vmMilliseconds = IDLE_PERIOD_MS * vms;
     return {
-      "calls until started": startCalls,
-      "calls to settle": settled - startCalls,
-      "calls a second": (fleet.store.calls - settled) /
-        (QUIET_MS / MS_PER_SECOND),
-      "processor ms a second a VM": round((user + system) / perVm),
+      "calls until started": callsAtStart,
+      "calls to settle": callsAfterDiscovery - callsAtStart,
+      "calls a second": (fleet.store.calls - callsAfterDiscovery) /
+        (IDLE_PERIOD_MS / MS_PER_SECOND),
+      "processor ms a second a VM": round((user + system) / vmMilliseconds),
     };
   } finally {
     await fleet.stop();
--- a/bench/load_generator.ts
+++ b/bench/load_generator.ts
@@ -1,4 +1,4 @@
-/** Sends chat requests to one address, in a closed or an open loop. */
+/** Load generator for chat requests to one URL, closed loop or open loop. */
 
 import { performance } from "node:perf_hooks";
 import { build, type Histogram } from "hdr-histogram-js";
@@ -7,23 +7,23 @@
 const US_PER_MS = 1_000;
 const TICK_MS = 1;
 
-/** What is sent, and where. */
+/** Request to send, and its URL. */
 export interface LoadTarget {
   readonly url: string;
   readonly key: string;
   readonly body: string;
-  /** Whether the time to the first event counts, not that to the whole answer. */
+  /** Whether latency is the time to the first event instead of the time to the complete response. */
   readonly toFirstEvent: boolean;
 }
 
-/** Outcome of a run; latencies are in microseconds. */
+/** Result of a run; latencies are in microseconds. */
 export interface LoadResult {
   readonly perSecond: number;
   readonly failed: number;
   readonly latencies: Histogram;
 }
 
-/** A source of load with connections of its own. */
+/** Sends the same request repeatedly over its own connection pool. */
 export class LoadGenerator {
   readonly #target: LoadTarget;
   readonly #agent: Agent;
@@ -34,37 +34,37 @@
     this.#agent = new Agent({ connections, pipelining: 1 });
   }
 
-  /** So many callers, each sending its next request when it has its answer. */
+  /** Runs a fixed number of callers, each of which sends its next request after the previous response. */
   async closedLoop(
-    { callers, forMs }: { callers: number; forMs: number },
+    { callers, durationMs }: { callers: number; durationMs: number },
   ): Promise<LoadResult> {
     const latencies = newHistogram();
     const startedMs = performance.now();
-    const endMs = startedMs + forMs;
-    const run = async () => {
+    const endMs = startedMs + durationMs;
+    const runCaller = async () => {
       while (performance.now() < endMs) {
-        await this.#once(performance.now(), latencies);
+        await this.#send(performance.now(), latencies);
       }
     };
-    await Promise.all(Array.from({ length: callers }, run));
+    await Promise.all(Array.from({ length: callers }, runCaller));
     return this.#result(latencies, startedMs);
   }
 
-  /** So many requests a second; a late start counts as latency. */
+  /** Sends requests at a fixed rate; latency is measured from the due time, so it includes late starts. */
   async openLoop(
-    { perSecond, forMs }: { perSecond: number; forMs: number },
+    { perSecond, durationMs }: { perSecond: number; durationMs: number },
   ): Promise<LoadResult> {
     const latencies = newHistogram();
     const startedMs = performance.now();
-    const count = Math.floor(perSecond * forMs / 1_000);
+    const count = Math.floor(perSecond * durationMs / 1_000);
     const pending: Promise<void>[] = [];
     while (pending.length < count) {
-      const due = Math.floor(
+      const dueCount = Math.floor(
         (performance.now() - startedMs) * perSecond / 1_000,
       );
-      while (pending.length < Math.min(due, count)) {
+      while (pending.length < Math.min(dueCount, count)) {
         const dueMs = startedMs + pending.length * 1_000 / perSecond;
-        pending.push(this.#once(dueMs, latencies));
+        pending.push(this.#send(dueMs, latencies));
       }
       await new Promise((resolve) => setTimeout(resolve, TICK_MS));
     }
@@ -72,12 +72,12 @@
     return this.#result(latencies, startedMs);
   }
 
-  /** Ends all connections. */
+  /** Destroys all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
-  async #once(fromMs: number, latencies: Histogram): Promise<void> {
+  async #send(startMs: number, latencies: Histogram): Promise<void> {
     try {
       const res = await request(this.#target.url, {
         method: "POST",
@@ -89,14 +89,14 @@
         body: this.#target.body,
       });
       if (this.#target.toFirstEvent) {
-        let first = true;
+        let isFirst = true;
         for await (const _ of res.body) {
-          if (first) record(latencies, fromMs);
-          first = false;
+          if (isFirst) recordLatency(latencies, startMs);
+          isFirst = false;
         }
       } else {
         await res.body.text();
-        record(latencies, fromMs);
+        recordLatency(latencies, startMs);
       }
       if (res.statusCode !== 200) this.#failed += 1;
     } catch {
@@ -112,7 +112,7 @@
   }
 }
 
-/** Returns a percentile in milliseconds. */
+/** Returns a latency percentile in milliseconds. */
 export function percentileMs(latencies: Histogram, percentile: number): number {
   return latencies.getValueAtPercentile(percentile) / US_PER_MS;
 }
@@ -124,6 +124,6 @@
   });
 }
 
-function record(latencies: Histogram, fromMs: number): void {
-  latencies.recordValue(Math.round((performance.now() - fromMs) * US_PER_MS));
+function recordLatency(latencies: Histogram, startMs: number): void {
+  latencies.recordValue(Math.round((performance.now() - startMs) * US_PER_MS));
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** Measurements; each prints ours, the baseline and the ratio. */
+/** Command line of the benchmarks. */
 
 import process from "node:process";
 import yargs from "yargs";
@@ -16,13 +16,13 @@
   .option("json", { type: "boolean", default: false, describe: "Print JSON" })
   .command(
     "overhead",
-    "Latency and rate through one entry against the stand-in alone",
+    "Latency and throughput through one entry, compared with direct requests to the stand-in",
     (args) => args,
     ({ json }) => benchOverhead({ json: json === true }),
   )
   .command(
     "slopes [part]",
-    "What entries, changes, requests and tokens cost; the figures of docs/CAPACITY.md",
+    "Cost of entries, changes, requests and tokens: the figures of docs/CAPACITY.md",
     (args) =>
       args.positional("part", {
         choices: [
--- a/bench/overhead_bench.ts
+++ b/bench/overhead_bench.ts
@@ -1,4 +1,4 @@
-/** What a request costs by way of an entry, against the same load straight at the stand-in. */
+/** Overhead of an entry: latency and CPU time compared with the same load sent directly to the stand-in. */
 
 import {
   hashKey,
@@ -12,33 +12,33 @@
 } from "./load_generator.ts";
 import { cpuMs, memoryMb } from "./process_usage.ts";
 
-const KEY = "key-of-the-bench";
-const CALLERS = 64;
+const API_KEY = "key-of-the-bench";
+const CALLER_COUNT = 64;
 const WARM_UP_MS = 2_000;
 const RUN_MS = 4_000;
-/** Runs of each way in turn, of which the medians are printed. */
-const RUNS = 3;
+/** Runs through the entry and directly, which alternate; the medians are printed. */
+const RUN_COUNT = 3;
 const PERCENTILES = [50, 95, 99];
 const PROMPT = "Why do calamansi leaves curl in the dry season? ".repeat(8);
-const TOKENS = 32;
+const MAX_TOKENS = 32;
 
-/** One measured way. */
+/** Results for one response format and path: through the entry, or directly to the stand-in. */
 interface Row {
   readonly form: "JSON" | "SSE";
   readonly way: "entry" | "straight";
   readonly topPerSecond: number;
-  /** Rate of the open loop, half of the entry's top rate. */
+  /** Request rate of the open loop: half of the maximum rate through the entry. */
   readonly perSecond: number;
   readonly failed: number;
   readonly p50Ms: number;
   readonly p95Ms: number;
   readonly p99Ms: number;
-  /** Processor time of the entry for one request. */
+  /** CPU time of the entry for each request. */
   readonly cpuUs: number;
   readonly memoryMb: number;
 }
 
-/** Runs the measurement and prints it. */
+/** Runs the benchmark and prints the results as a table, or as JSON. */
 export async function benchOverhead(
   { json }: { json: boolean },
 ): Promise<void> {
@@ -49,7 +49,7 @@
       rows.push(...await measureForm(fleet, form));
     }
     if (json) console.log(JSON.stringify(rows));
-    else print(rows);
+    else printTable(rows);
   } finally {
     await fleet.stop();
   }
@@ -59,8 +59,8 @@
   const model = { id: "m", stable: "v1", versions: [{ id: "v1" }] };
   return TestFleet.start({
     entries: [{ id: "entry-1", data_centre: "qc-hall" }],
-    backends: [1, 2].map((at) => ({
-      id: `model-${at}`,
+    backends: [1, 2].map((index) => ({
+      id: `model-${index}`,
       data_centre: "qc-hall",
       version: "m@v1",
       tokenMs: 0,
@@ -69,7 +69,7 @@
     configuration: {
       accounts: [{
         id: "a",
-        keys: [hashKey(KEY)],
+        keys: [hashKey(API_KEY)],
         models: ["m"],
         max_in_flight: 10_000,
       }],
@@ -85,31 +85,39 @@
   const entry = fleet.entry("entry-1");
   const straight = fleet.backends.get("model-1");
   const targets = {
-    entry: target(`http://${entry.callers}`, { model: "m", form }),
-    straight: target(straight?.url ?? "", { model: "m@v1", form }),
+    entry: createTarget(`http://${entry.callers}`, { model: "m", form }),
+    straight: createTarget(straight?.url ?? "", { model: "m@v1", form }),
   };
   const generators = {
-    entry: new LoadGenerator(targets.entry, CALLERS),
-    straight: new LoadGenerator(targets.straight, CALLERS),
+    entry: new LoadGenerator(targets.entry, CALLER_COUNT),
+    straight: new LoadGenerator(targets.straight, CALLER_COUNT),
   };
-  const top = { entry: 0, straight: 0 };
+  const topPerSecond = { entry: 0, straight: 0 };
   for (const way of ["straight", "entry"] as const) {
-    await generators[way].closedLoop({ callers: CALLERS, forMs: WARM_UP_MS });
+    await generators[way].closedLoop({
+      callers: CALLER_COUNT,
+      durationMs: WARM_UP_MS,
+    });
     const run = await generators[way].closedLoop({
-      callers: CALLERS,
-      forMs: RUN_MS,
+      callers: CALLER_COUNT,
+      durationMs: RUN_MS,
     });
-    top[way] = run.perSecond;
+    topPerSecond[way] = run.perSecond;
   }
-  const perSecond = top.entry / 2;
+  const perSecond = topPerSecond.entry / 2;
   const rows: Record<Row["way"], Row[]> = { straight: [], entry: [] };
-  for (let run = 0; run < RUNS; run++) {
+  for (let run = 0; run < RUN_COUNT; run++) {
     for (const way of ["straight", "entry"] as const) {
-      const measured = await measureOpenLoop(generators[way], {
+      const figures = await measureOpenLoop(generators[way], {
         perSecond,
         entry,
       });
-      rows[way].push({ form, way, topPerSecond: top[way], ...measured });
+      rows[way].push({
+        form,
+        way,
+        topPerSecond: topPerSecond[way],
+        ...figures,
+      });
     }
   }
   await generators.straight.close();
@@ -122,8 +130,8 @@
   { perSecond, entry }: { perSecond: number; entry: RunningEntry },
 ): Promise<Omit<Row, "form" | "way" | "topPerSecond">> {
   const cpuBefore = cpuMs(entry.process.pid);
-  const run = await generator.openLoop({ perSecond, forMs: RUN_MS });
-  const usedMs = cpuMs(entry.process.pid) - cpuBefore;
+  const run = await generator.openLoop({ perSecond, durationMs: RUN_MS });
+  const usedCpuMs = cpuMs(entry.process.pid) - cpuBefore;
   const [p50Ms = 0, p95Ms = 0, p99Ms = 0] = PERCENTILES.map((percentile) =>
     percentileMs(run.latencies, percentile)
   );
@@ -133,23 +141,23 @@
     p50Ms,
     p95Ms,
     p99Ms,
-    cpuUs: usedMs * 1_000 / run.latencies.totalCount,
+    cpuUs: usedCpuMs * 1_000 / run.latencies.totalCount,
     memoryMb: memoryMb(entry.process.pid),
   };
 }
 
-/** Each figure's median over the runs; failures are added up. */
+/** Returns the median of each figure over the runs, and the sum of the failures. */
 function medianRow(rows: readonly Row[]): Row {
-  const of = (figure: (row: Row) => number) => median(rows.map(figure));
+  const medianOf = (figure: (row: Row) => number) => median(rows.map(figure));
   return {
     ...rows[0] as Row,
-    perSecond: of((row) => row.perSecond),
+    perSecond: medianOf((row) => row.perSecond),
     failed: rows.reduce((sum, row) => sum + row.failed, 0),
-    p50Ms: of((row) => row.p50Ms),
-    p95Ms: of((row) => row.p95Ms),
-    p99Ms: of((row) => row.p99Ms),
-    cpuUs: of((row) => row.cpuUs),
-    memoryMb: of((row) => row.memoryMb),
+    p50Ms: medianOf((row) => row.p50Ms),
+    p95Ms: medianOf((row) => row.p95Ms),
+    p99Ms: medianOf((row) => row.p99Ms),
+    cpuUs: medianOf((row) => row.cpuUs),
+    memoryMb: medianOf((row) => row.memoryMb),
   };
 }
 
@@ -158,22 +166,27 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-function target(
+function createTarget(
   base: string,
   { model, form }: { model: string; form: Row["form"] },
 ): LoadTarget {
   const stream = form === "SSE";
   const messages = [{ role: "user", content: PROMPT }];
-  const body = JSON.stringify({ model, stream, max_tokens: TOKENS, messages });
+  const body = JSON.stringify({
+    model,
+    stream,
+    max_tokens: MAX_TOKENS,
+    messages,
+  });
   return {
     url: `${base}/v1/chat/completions`,
-    key: KEY,
+    key: API_KEY,
     body,
     toFirstEvent: stream,
   };
 }
 
-function print(rows: readonly Row[]): void {
+function printTable(rows: readonly Row[]): void {
   console.table(rows.map((row) => ({
     form: row.form,
     way: row.way,
@@ -189,10 +202,12 @@
   for (const form of ["JSON", "SSE"]) {
     const [straight, entry] = rows.filter((row) => row.form === form);
     if (straight === undefined || entry === undefined) continue;
-    const added =
+    const addedLatency =
       `added p50 ${(entry.p50Ms - straight.p50Ms).toFixed(2)} ms, ` +
       `p99 ${(entry.p99Ms - straight.p99Ms).toFixed(2)} ms`;
     const ratio = (entry.p50Ms / straight.p50Ms).toFixed(2);
-    console.log(`${form}: ${added}; p50 ${ratio} times that of the baseline`);
+    console.log(
+      `${form}: ${addedLatency}; p50 ${ratio} times that of the baseline`,
+    );
   }
 }
--- a/bench/report_slopes.ts
+++ b/bench/report_slopes.ts
@@ -1,40 +1,43 @@
-/** What load reports cost an entry. */
+/** CPU cost of load reports for an entry. */
 
 import { pause } from "../src/runtime/pause.ts";
 import { TestFleet } from "../tests/fixtures/test_fleet.ts";
 import { cpuMs } from "./process_usage.ts";
 
 const SERVERS = [1, 8];
-const SETTLE_MS = 4_000;
-const QUIET_MS = 10_000;
+const WARM_UP_MS = 4_000;
+const IDLE_PERIOD_MS = 10_000;
 
-/** Prints the processor time of one load report, from a quiet entry with few and many servers. */
+/** Prints the CPU time of one load report, as the difference between an idle entry with few and with many servers. */
 export async function benchReports(): Promise<void> {
-  const used: number[] = [];
-  for (const servers of SERVERS) used.push(await quietCpu(servers));
-  const [few = 0, many = 0] = used;
+  const rates: number[] = [];
+  for (const servers of SERVERS) rates.push(await idleCpuRate(servers));
+  const [fewCpu = 0, manyCpu = 0] = rates;
   const [fewServers = 0, manyServers = 0] = SERVERS;
   console.table({
     [`quiet entry, ${fewServers} report a second`]: {
-      value: few,
+      value: fewCpu,
       unit: "ms/s",
     },
     [`quiet entry, ${manyServers} reports a second`]: {
-      value: many,
+      value: manyCpu,
       unit: "ms/s",
     },
     "one load report": {
-      value: Math.round((many - few) / (manyServers - fewServers) * 1_000),
+      value: Math.round(
+        (manyCpu - fewCpu) / (manyServers - fewServers) * 1_000,
+      ),
       unit: "us of processor time",
     },
   });
 }
 
-async function quietCpu(servers: number): Promise<number> {
+/** Returns the CPU time of an entry without requests, in milliseconds per second. */
+async function idleCpuRate(servers: number): Promise<number> {
   const fleet = await TestFleet.start({
     entries: [{ id: "entry-1", data_centre: "qc-hall" }],
-    backends: Array.from({ length: servers }, (_, at) => ({
-      id: `model-${at}`,
+    backends: Array.from({ length: servers }, (_, index) => ({
+      id: `model-${index}`,
       data_centre: "qc-hall",
       version: "m@v1",
     })),
@@ -43,11 +46,11 @@
     },
   });
   try {
-    await pause(SETTLE_MS);
+    await pause(WARM_UP_MS);
     const { pid } = fleet.entry("entry-1").process;
-    const before = cpuMs(pid);
-    await pause(QUIET_MS);
-    return (cpuMs(pid) - before) / QUIET_MS * 1_000;
+    const cpuBefore = cpuMs(pid);
+    await pause(IDLE_PERIOD_MS);
+    return (cpuMs(pid) - cpuBefore) / IDLE_PERIOD_MS * 1_000;
   } finally {
     await fleet.stop();
   }
--- a/bench/request_slopes.ts
+++ b/bench/request_slopes.ts
@@ -1,31 +1,31 @@
-/** What one request and one streamed token cost an entry. */
+/** CPU cost of one request and of one streamed token for an entry. */
 
 import { hashKey, TestFleet } from "../tests/fixtures/test_fleet.ts";
 import { LoadGenerator } from "./load_generator.ts";
 import { cpuMs } from "./process_usage.ts";
 
-const KEY = "key-of-the-bench";
-const CALLERS = 100;
+const API_KEY = "key-of-the-bench";
+const CALLER_COUNT = 100;
 const RUN_MS = 8_000;
-const TOKEN_MS = 20;
+const TOKEN_INTERVAL_MS = 20;
 const FEW_TOKENS = 10;
 const MANY_TOKENS = 110;
 
-/** Prints processor time for each request and each token, sent one by one. */
+/** Prints the CPU time for each request and for each token, with tokens streamed one by one. */
 export async function benchRequests(): Promise<void> {
   const fleet = await TestFleet.start({
     entries: [{ id: "entry-1", data_centre: "qc-hall" }],
-    backends: [1, 2].map((at) => ({
-      id: `model-${at}`,
+    backends: [1, 2].map((index) => ({
+      id: `model-${index}`,
       data_centre: "qc-hall",
       version: "m@v1",
-      tokenMs: TOKEN_MS,
+      tokenMs: TOKEN_INTERVAL_MS,
       slots: 512,
     })),
     configuration: {
       accounts: [{
         id: "a",
-        keys: [hashKey(KEY)],
+        keys: [hashKey(API_KEY)],
         models: ["m"],
         max_in_flight: 10_000,
       }],
@@ -33,16 +33,17 @@
     },
   });
   try {
-    const few = await cpuForRequest(fleet, FEW_TOKENS);
-    const many = await cpuForRequest(fleet, MANY_TOKENS);
-    const perToken = (many - few) / (MANY_TOKENS - FEW_TOKENS);
+    const fewTokensUs = await measureCpuUsPerRequest(fleet, FEW_TOKENS);
+    const manyTokensUs = await measureCpuUsPerRequest(fleet, MANY_TOKENS);
+    const usPerToken = (manyTokensUs - fewTokensUs) /
+      (MANY_TOKENS - FEW_TOKENS);
     console.table({
       "one streamed token": {
-        value: Math.round(perToken),
+        value: Math.round(usPerToken),
         unit: "us of processor time",
       },
       "one streamed request without its tokens": {
-        value: Math.round(few - perToken * FEW_TOKENS),
+        value: Math.round(fewTokensUs - usPerToken * FEW_TOKENS),
         unit: "us of processor time",
       },
     });
@@ -51,7 +52,7 @@
   }
 }
 
-async function cpuForRequest(
+async function measureCpuUsPerRequest(
   fleet: TestFleet,
   tokens: number,
 ): Promise<number> {
@@ -59,7 +60,7 @@
   const messages = [{ role: "user", content: "Why do calamansi leaves curl?" }];
   const generator = new LoadGenerator({
     url: `http://${entry.callers}/v1/chat/completions`,
-    key: KEY,
+    key: API_KEY,
     body: JSON.stringify({
       model: "m",
       stream: true,
@@ -67,14 +68,17 @@
       messages,
     }),
     toFirstEvent: true,
-  }, CALLERS);
-  await generator.closedLoop({ callers: CALLERS, forMs: RUN_MS / 4 });
-  const before = cpuMs(entry.process.pid);
-  const run = await generator.closedLoop({ callers: CALLERS, forMs: RUN_MS });
-  const used = cpuMs(entry.process.pid) - before;
+  }, CALLER_COUNT);
+  await generator.closedLoop({ callers: CALLER_COUNT, durationMs: RUN_MS / 4 });
+  const cpuBefore = cpuMs(entry.process.pid);
+  const run = await generator.closedLoop({
+    callers: CALLER_COUNT,
+    durationMs: RUN_MS,
+  });
+  const usedCpuMs = cpuMs(entry.process.pid) - cpuBefore;
   await generator.close();
   if (run.failed > 0) {
-    throw new Error(`${run.failed} requests failed; the figures are worthless`);
+    throw new Error(`${run.failed} requests failed; results are invalid`);
   }
-  return used * 1_000 / run.latencies.totalCount;
+  return usedCpuMs * 1_000 / run.latencies.totalCount;
 }
--- a/bench/two_year_size.ts
+++ b/bench/two_year_size.ts
@@ -1,9 +1,9 @@
-/** The size that the users expect within two years, and a configuration of that size. */
+/** Deployment size that the users expect within two years, and a configuration of this size. */
 
 import type { Configuration } from "../src/core/config/configuration.ts";
 import { hashKey } from "../tests/fixtures/test_fleet.ts";
 
-/** Figures of the users' first letter; bytes and milliseconds a second where a rate. */
+/** Expected size as given by the users. */
 export const TWO_YEAR_SIZE = {
   entries: 390,
   servers: 2_400,
@@ -14,30 +14,30 @@
   tokensPerSecond: 3_600_000,
 } as const;
 
-/** Client accounts are not in the letter; this many are assumed. */
-const ACCOUNTS = 500;
+/** Number of client accounts; an assumption, since the users gave no figure. */
+const ACCOUNT_COUNT = 500;
 
-/** Returns a configuration of that size, whose servers are never contacted. */
+/** Returns a configuration of the two-year size, whose servers do not exist. */
 export function largeConfiguration(): Configuration {
   const { servers, versions, dataCentres } = TWO_YEAR_SIZE;
-  const models = Array.from({ length: versions }, (_, at) => ({
-    id: `model-${at}`,
+  const models = Array.from({ length: versions }, (_, index) => ({
+    id: `model-${index}`,
     stable: "v1",
     versions: [{ id: "v1", state: "serving", cost_per_1k_tokens: 1 }],
   }));
-  const backends = Array.from({ length: servers }, (_, at) => ({
-    id: `server-${at}`,
-    data_centre: `dc-${at % dataCentres}`,
-    url: `http://10.${at % dataCentres}.${Math.floor(at / 250)}.${
-      at % 250
+  const backends = Array.from({ length: servers }, (_, index) => ({
+    id: `server-${index}`,
+    data_centre: `dc-${index % dataCentres}`,
+    url: `http://10.${index % dataCentres}.${Math.floor(index / 250)}.${
+      index % 250
     }:8000`,
     versions: [],
     service: "tills",
     slots: 16,
   }));
-  const accounts = Array.from({ length: ACCOUNTS }, (_, at) => ({
-    id: `account-${at}`,
-    keys: [hashKey(`key-${at}`)],
+  const accounts = Array.from({ length: ACCOUNT_COUNT }, (_, index) => ({
+    id: `account-${index}`,
+    keys: [hashKey(`key-${index}`)],
     models: models.map(({ id }) => id),
     services: ["tills"],
     priority: "standard",
@@ -58,10 +58,10 @@
   return cfg as unknown as Configuration;
 }
 
-/** Returns the same configuration with one account changed. */
+/** Returns a copy of the configuration with a different in-flight limit of one account. */
 export function withChange(cfg: Configuration, change: number): Configuration {
-  const accounts = cfg.accounts.map((account, at) =>
-    at === change % cfg.accounts.length
+  const accounts = cfg.accounts.map((account, index) =>
+    index === change % cfg.accounts.length
       ? { ...account, max_in_flight: 201 + change }
       : account
   );
