--- a/tests/accepted_requests_test.ts
+++ b/tests/accepted_requests_test.ts
@@ -1,12 +1,10 @@
 /**
- * Seen: callers' connections closed in the middle of streams with status 200, three to four
- * seconds after a configuration had withdrawn keys, long before any time limit. Each stream
- * had run at one server, whose run ended as the caller's connection did; nothing else was
- * amiss. How: the stream paused, its VM gave the server up to go on at another one, and
- * before that try it judged the request again, by the configuration in force by then. Its
- * key was no longer in it, so the VM cut what it had accepted. Cause: an accepted request
- * was judged anew at each try, by news that came after it. What proved it: these tests,
- * in which nothing changes but the key, the route or the store between two tries.
+ * Guards against cutting a request that was already accepted because of a later change of
+ * keys, routes or store availability. Before each retry the VM checked the request again
+ * against the current configuration. When a stream with status 200 paused and its VM moved it
+ * to another server after its key had been withdrawn, the client's connection was closed three
+ * to four seconds after the configuration change, long before any time limit. In these tests
+ * only the key, the route or the store changes between two attempts.
  */
 
 import assert from "node:assert/strict";
@@ -24,32 +22,32 @@
 import { pause } from "../src/runtime/pause.ts";
 import { until } from "./fixtures/test_fleet.ts";
 
-const OTHER_KEYS = { keys: ["another-key-000000000"] };
+const REPLACED_KEYS = { keys: ["another-key-000000000"] };
 const FIRST = "id: 1\ndata: a\n\n";
 const SECOND = "id: 2\ndata: b\n\n";
 const END = "0\r\n\r\n";
-/** More events than the buffers of all connections between server and caller take. */
+/** More data than the buffers of all connections between server and client hold. */
 const MANY_EVENTS = Array.from(
   { length: 2_000 },
   (_, n) => `id: ${n + 2}\ndata: ${"b".repeat(10_000)}\n\n`,
 ).join("");
-/** Longer than any patience with a pause in a stream. */
-const SLOW_CALLER_MS = 3_000;
+/** Longer than every stall detection timeout of a stream. */
+const SLOW_CLIENT_MS = 3_000;
 /** Longer than any of these tests takes. */
 const WAIT_MS = 60_000;
 
 let gateway: TestGateway;
-/** Requests whose answers the test still owes. */
-let held: RawRequest[];
+/** Requests that the test has not answered completely yet. */
+let pending: RawRequest[];
 
 beforeEach(() => {
   gateway = new TestGateway();
-  held = [];
+  pending = [];
 });
 
 afterEach(() => gateway.stop());
 
-/** Begins streams and holds them, but for those of the path that warms up. */
+/** Starts each stream and leaves it open, except on the warm-up path. */
 function beginStream(req: RawRequest): void {
   const { socket, text } = req;
   if (/last-event-id: 1/i.test(text)) {
@@ -58,11 +56,11 @@
     socket.write(streamBytes(FIRST) + END);
   } else {
     socket.write(streamBytes(FIRST));
-    held.push(req);
+    pending.push(req);
   }
 }
 
-/** Starts a gateway with two servers and one stream that has begun. */
+/** Starts a gateway with two servers and one open stream. */
 async function startStream(
   bounds: Parameters<TestGateway["start"]>[1] = {},
 ): Promise<{ readonly stream: Promise<{ readonly body: string }> }> {
@@ -71,7 +69,7 @@
   await gateway.addServer("i-2", beginStream);
   await untilStatus(200);
   const stream = gateway.call("/stock/1", { waitMs: WAIT_MS });
-  await until(() => Promise.resolve(held.length > 0));
+  await until(() => Promise.resolve(pending.length > 0));
   return { stream };
 }
 
@@ -81,66 +79,66 @@
   );
 }
 
-/** Has the first server break the stream off, and expects another to finish it. */
-async function breakOffAndFinish(
+/** Resets the first server's connection and expects another server to finish the stream. */
+async function resetAndFinish(
   stream: Promise<{ readonly body: string }>,
 ): Promise<void> {
-  held[0]?.socket.resetAndDestroy();
+  pending[0]?.socket.resetAndDestroy();
   assert.equal((await stream).body, FIRST + SECOND);
 }
 
 describe("accepted requests", () => {
-  it("should finish a stream elsewhere although its key was withdrawn", async () => {
+  it("should finish a stream on another server after its key was withdrawn", async () => {
     const { stream } = await startStream();
-    gateway.configure([STREAM_ROUTE], OTHER_KEYS);
+    gateway.configure([STREAM_ROUTE], REPLACED_KEYS);
     await untilStatus(401);
-    await breakOffAndFinish(stream);
+    await resetAndFinish(stream);
   });
 
-  it("should finish a stream that its server lets pause, although its key was withdrawn", async () => {
+  it("should finish a stream that stalls on its server after its key was withdrawn", async () => {
     const { stream } = await startStream();
-    gateway.configure([STREAM_ROUTE], OTHER_KEYS);
+    gateway.configure([STREAM_ROUTE], REPLACED_KEYS);
     await untilStatus(401);
     assert.equal((await stream).body, FIRST + SECOND);
   });
 
-  it("should finish a stream elsewhere although its route was removed", async () => {
+  it("should finish a stream on another server after its route was removed", async () => {
     const { stream } = await startStream();
     gateway.configure([]);
     await untilStatus(404);
-    await breakOffAndFinish(stream);
+    await resetAndFinish(stream);
   });
 
-  it("should finish a stream elsewhere although nothing confirms its key any more", async () => {
+  it("should finish a stream on another server after the confirmation of its key expired", async () => {
     const { stream } = await startStream({ keyRemovalMs: 1_000 });
     gateway.store.setFaults({ down: true });
     await untilStatus(503);
-    await breakOffAndFinish(stream);
+    await resetAndFinish(stream);
   });
 
-  it("should not say that nothing ran where the store fell away after a run", async () => {
-    // The objective keeps the server from being given up before it has answered.
+  it("should not report a request as not run when the store fails after an attempt", async () => {
+    // The target latency keeps the gateway from abandoning the server before it has answered.
     const route = routeWire({ MaxAttempts: 2, TargetLatencyMs: WAIT_MS });
     await gateway.start([route], { keyRemovalMs: 1_000 });
     const fail = answerBytes({ status: "500 Internal Server Error" });
     const answer = (req: RawRequest) => {
       if (req.text.includes("/warm")) req.socket.write(answerBytes());
-      else if (held.length > 0) req.socket.write(fail);
-      else held.push(req);
+      else if (pending.length > 0) req.socket.write(fail);
+      else pending.push(req);
     };
     await gateway.addServer("i-1", answer);
     await gateway.addServer("i-2", answer);
     await untilStatus(200);
     const call = gateway.call("/stock/1", { waitMs: WAIT_MS });
-    await until(() => Promise.resolve(held.length > 0));
+    await until(() => Promise.resolve(pending.length > 0));
     gateway.store.setFaults({ down: true });
     await untilStatus(503);
-    held[0]?.socket.write(fail);
+    pending[0]?.socket.write(fail);
     assert.notEqual((await call).status, 503);
   });
 
-  it("should leave paused servers only for as many streams as may be repeated", async () => {
-    // Three streams pause at once; less than half of the allowance is used: one retry.
+  it("should move only as many stalled streams as the retry budget allows", async () => {
+    // Three streams stall together; less than half of the allowance may be used: one retry.
     await gateway.start([STREAM_ROUTE], {
       retryRatio: 0,
       retryAllowance: 3,
@@ -151,41 +149,41 @@
     const streams = [1, 2, 3].map((n) =>
       gateway.call(`/stock/${n}`, { waitMs: WAIT_MS })
     );
-    await until(() => Promise.resolve(held.length === 3));
+    await until(() => Promise.resolve(pending.length === 3));
     const other = await gateway.addServer("i-2", beginStream);
     await until(() => Promise.resolve(other.requests.length > 0));
-    for (const { socket } of held) socket.write(chunkBytes(SECOND) + END);
+    for (const { socket } of pending) socket.write(chunkBytes(SECOND) + END);
     for (const { body } of await Promise.all(streams)) {
       assert.equal(body, FIRST + SECOND);
     }
   });
 
-  it("should wait for a place for a stream whose server broke off while the others are full", async () => {
-    let turnedAway = 0;
+  it("should wait for capacity when the server of a stream fails while the others are full", async () => {
+    let rejections = 0;
     await gateway.start([STREAM_ROUTE]);
     const answer = (req: RawRequest) => {
       const resumed = /last-event-id: 1/i.test(req.text);
-      if (!resumed || turnedAway === 5) return beginStream(req);
-      turnedAway += 1;
+      if (!resumed || rejections === 5) return beginStream(req);
+      rejections += 1;
       req.socket.write(notRunBytes());
     };
     await gateway.addServer("i-1", answer);
     await gateway.addServer("i-2", answer);
     await untilStatus(200);
     const stream = gateway.call("/stock/1", { waitMs: WAIT_MS });
-    await until(() => Promise.resolve(held.length > 0));
-    await breakOffAndFinish(stream);
+    await until(() => Promise.resolve(pending.length > 0));
+    await resetAndFinish(stream);
   });
 
-  it("should wait for a place for a request whose run this VM gave up itself", async () => {
-    // Seen in a trial: a run was given up as silent, the other servers were full, and the
-    // caller had a failure in place of the answer that the run would have come to.
-    let turnedAway = 0;
+  it("should wait for capacity for a request whose attempt this VM abandoned", async () => {
+    // An attempt was abandoned as stalled while the other servers were full, so the client
+    // got a failure instead of the response that the attempt would have produced.
+    let rejections = 0;
     await gateway.start([routeWire({ MaxAttempts: 3 })]);
     const answer = (req: RawRequest) => {
       if (req.text.includes("/warm")) req.socket.write(answerBytes());
-      else if (held.length === 0) held.push(req);
-      else if (turnedAway++ < 5) req.socket.write(notRunBytes());
+      else if (pending.length === 0) pending.push(req);
+      else if (rejections++ < 5) req.socket.write(notRunBytes());
       else req.socket.write(answerBytes());
     };
     await gateway.addServer("i-1", answer);
@@ -195,43 +193,43 @@
     assert.equal(res.status, 200);
   });
 
-  it("should not leave a silent server for the same one", async () => {
-    // Seen in a trial: the only server that was left to choose was the one being left, and
-    // each time a run and a repeat were spent on it.
+  it("should not move a stream from a stalled server to the same server", async () => {
+    // The only remaining candidate was the stalled server itself, and each move to it spent
+    // an attempt and a retry.
     const route = routeWire({ RouteType: "streaming", StreamResumption: true });
     await gateway.start([{ ...route, MaxAttempts: 5 }]);
     const server = await gateway.addServer("i-1", (req) => {
       if (req.text.includes("/warm")) return beginStream(req);
-      held.push(req);
-      if (held.length > 1) return;
+      pending.push(req);
+      if (pending.length > 1) return;
       req.socket.write(streamBytes(FIRST));
       setTimeout(() => req.socket.resetAndDestroy(), 20);
     });
     await untilStatus(200);
     const stream = gateway.call("/stock/1", { waitMs: WAIT_MS });
-    await until(() => Promise.resolve(held.length === 2));
-    await pause(SLOW_CALLER_MS);
-    held[1]?.socket.write(streamBytes(SECOND) + END);
+    await until(() => Promise.resolve(pending.length === 2));
+    await pause(SLOW_CLIENT_MS);
+    pending[1]?.socket.write(streamBytes(SECOND) + END);
     assert.equal((await stream).body, FIRST + SECOND);
-    assert.equal(held.length, 2);
+    assert.equal(pending.length, 2);
     assert.ok(server.requests.length > 2);
   });
 
-  it("should not take a server as paused while its caller does not keep up", async () => {
-    // Read in the code: nothing is read from a server whose caller is slow, and the pause
-    // this makes was held against the server, which was given up for another one.
+  it("should not treat a server as stalled while its client reads too slowly", async () => {
+    // Backpressure from a slow client stops reads from the server. That pause was counted as
+    // a stall of the server, and the stream moved to another one.
     await gateway.start([STREAM_ROUTE]);
     await gateway.addServer("i-1", beginStream);
     const other = await gateway.addServer("i-2", beginStream);
     await untilStatus(200);
     const warm = other.requests.length;
     const body = await gateway.open("/stock/1", { waitMs: WAIT_MS });
-    await until(() => Promise.resolve(held.length > 0));
-    held[0]?.socket.write(chunkBytes(MANY_EVENTS) + END);
-    await pause(SLOW_CALLER_MS);
+    await until(() => Promise.resolve(pending.length > 0));
+    pending[0]?.socket.write(chunkBytes(MANY_EVENTS) + END);
+    await pause(SLOW_CLIENT_MS);
     assert.equal(await body.text(), FIRST + MANY_EVENTS);
-    assert.equal(held.length, 1);
-    const asked = other.requests.slice(warm).map(({ text }) => text);
-    assert.ok(!asked.some((text) => /last-event-id/i.test(text)));
+    assert.equal(pending.length, 1);
+    const resumedTexts = other.requests.slice(warm).map(({ text }) => text);
+    assert.ok(!resumedTexts.some((text) => /last-event-id/i.test(text)));
   });
 });
--- a/tests/accepted_revision_test.ts
+++ b/tests/accepted_revision_test.ts
@@ -1,10 +1,10 @@
 /**
- * Seen: all entries answered by a revision up to half a minute after a later one had been
- * accepted. It was accepted just before the platform was lost, and no entry had seen it. How:
- * entries that lose the platform ask each other whether there is a later revision; none had
- * one, and that was taken for proof that none had been accepted. Cause: a majority vouched for
- * what it could not know. Proof: the same loss after some entry has seen the revision breaks
- * nothing. Since then a revision counts as accepted once majorities hold it.
+ * Guards against entries that serve by an older revision after a later one was accepted. A
+ * revision was accepted just before the platform became unavailable, before any entry had
+ * received it. The entries then queried each other for a later revision and took the absence of
+ * one in a majority as proof that none had been accepted, so all of them answered by the old
+ * revision for up to half a minute. The same outage after at least one entry had received the
+ * revision did no harm. A revision now counts as accepted only once majorities hold it.
  */
 
 import assert from "node:assert/strict";
@@ -24,12 +24,12 @@
   return fleet;
 }
 
-/** Schedules for each size of fleet; far more are played by hand. */
-const RUNS = Number(process.env.FIELDRACK_SCHEDULES ?? 15);
+/** Schedules for each fleet size; set FIELDRACK_SCHEDULES to run many more. */
+const SCHEDULES_PER_SIZE = Number(process.env.FIELDRACK_SCHEDULES ?? 15);
 
-/** A large fleet takes as long for one schedule as small ones for many. */
-function runsOf(count: number): number {
-  return Math.ceil(RUNS * Math.min(1, 7 / count));
+/** Runs fewer schedules on large fleets, where each one takes much longer. */
+function schedulesFor(count: number): number {
+  return Math.ceil(SCHEDULES_PER_SIZE * Math.min(1, 7 / count));
 }
 
 const FAULTS = [
@@ -47,7 +47,7 @@
 
 interface Step {
   readonly fault: (typeof FAULTS)[number];
-  /** Entries that it meets, from 0 to 1. */
+  /** Fraction of the entries that the fault affects, from 0 to 1. */
   readonly share: number;
   readonly thenMs: number;
 }
@@ -61,9 +61,9 @@
   { minLength: 4, maxLength: 16 },
 );
 
-function play(fleet: SimulatedFleet, { fault, share }: Step): void {
+function injectFault(fleet: SimulatedFleet, { fault, share }: Step): void {
   const { network, ids } = fleet;
-  const some = ids.slice(0, Math.ceil(share * ids.length));
+  const affectedIds = ids.slice(0, Math.ceil(share * ids.length));
   switch (fault) {
     case "apply":
       return void fleet.apply();
@@ -73,9 +73,9 @@
     case "all cut from platform":
       return network.cutFromPlatform(ids);
     case "some cut from platform":
-      return network.cutFromPlatform(some);
+      return network.cutFromPlatform(affectedIds);
     case "parted":
-      return network.cutFromPeers(some);
+      return network.cutFromPeers(affectedIds);
     case "watches stuck":
       network.watchesStuck = true;
       return;
@@ -85,30 +85,30 @@
     case "restart":
       return fleet.startEntry(Math.floor(share * (ids.length - 1)));
     case "restart many":
-      for (const at of some.keys()) fleet.startEntry(at);
+      for (const index of affectedIds.keys()) fleet.startEntry(index);
       return;
     case "heal":
       return network.heal();
   }
 }
 
-/** Plays a schedule, ends its faults and checks that all entries serve by the newest. */
+/** Runs a schedule, heals its faults and checks that all entries serve by the latest revision. */
 async function checkSchedule(
   count: number,
   { seed, schedule }: { seed: number; schedule: readonly Step[] },
 ): Promise<void> {
-  const playing = await startFleet(count, seed);
+  const simulation = await startFleet(count, seed);
   for (const step of schedule) {
-    play(playing, step);
-    await playing.pass(step.thenMs);
+    injectFault(simulation, step);
+    await simulation.pass(step.thenMs);
   }
-  playing.network.heal();
-  await playing.pass(12_000);
-  const before = playing.accepted;
-  void playing.apply();
-  await playing.pass(12_000);
-  const { breaches, accepted, isWhole } = playing;
-  await playing.stop();
+  simulation.network.heal();
+  await simulation.pass(12_000);
+  const before = simulation.accepted;
+  void simulation.apply();
+  await simulation.pass(12_000);
+  const { breaches, accepted, isWhole } = simulation;
+  await simulation.stop();
   fleet = undefined;
   assert.deepEqual(breaches, []);
   assert.ok(accepted > before, "accepts again");
@@ -118,97 +118,97 @@
 describe("an accepted revision", () => {
   for (const count of [1, 5, 7, 65]) {
     for (const outageMs of [4_000, 14_000, 30_000]) {
-      it(`should outlast ${outageMs} ms without a platform, unseen by ${count} entries`, async () => {
-        const playing = await startFleet(count);
-        playing.network.cutFromPlatform(playing.ids);
-        void playing.apply();
-        await playing.pass(400);
-        playing.network.heal();
-        playing.network.platformDown = true;
-        await playing.pass(outageMs);
-        assert.deepEqual(playing.breaches, []);
+      it(`should stay in force through a platform outage of ${outageMs} ms before any of ${count} entries received it`, async () => {
+        const simulation = await startFleet(count);
+        simulation.network.cutFromPlatform(simulation.ids);
+        void simulation.apply();
+        await simulation.pass(400);
+        simulation.network.heal();
+        simulation.network.platformDown = true;
+        await simulation.pass(outageMs);
+        assert.deepEqual(simulation.breaches, []);
       });
     }
 
-    it(`should not be one that operators alone know, without ${count} entries`, async () => {
-      const playing = await startFleet(count);
-      playing.network.cutFromPlatform(playing.ids);
-      void playing.apply();
-      await playing.pass(14_000);
-      assert.deepEqual(playing.breaches, []);
-      playing.network.heal();
-      await playing.pass(5_000);
-      assert.equal(playing.accepted, 2);
-      assert.ok(playing.isWhole);
+    it(`should not count as accepted while none of ${count} entries can receive it`, async () => {
+      const simulation = await startFleet(count);
+      simulation.network.cutFromPlatform(simulation.ids);
+      void simulation.apply();
+      await simulation.pass(14_000);
+      assert.deepEqual(simulation.breaches, []);
+      simulation.network.heal();
+      await simulation.pass(5_000);
+      assert.equal(simulation.accepted, 2);
+      assert.ok(simulation.isWhole);
     });
 
-    it(`should cost callers of ${count} entries nothing while the platform is away`, async () => {
-      const playing = await startFleet(count);
-      playing.takeServingShare();
-      playing.network.platformDown = true;
-      await playing.pass(30_000);
-      assert.equal(playing.takeServingShare(), 1);
+    it(`should keep ${count} entries serving all requests while the platform is down`, async () => {
+      const simulation = await startFleet(count);
+      simulation.takeServingShare();
+      simulation.network.platformDown = true;
+      await simulation.pass(30_000);
+      assert.equal(simulation.takeServingShare(), 1);
     });
 
-    // Seen: 113 of 1,248 calls refused by one entry as its calls of the platform began to hang. It
-    // asked the others once that call was given up, after 2 s, and its confirmation was over.
-    it(`should cost callers of ${count} entries nothing while calls of the platform hang`, async () => {
-      const playing = await startFleet(count);
-      playing.takeServingShare();
-      playing.network.cutFromPlatform(playing.ids);
-      await playing.pass(30_000);
-      assert.equal(playing.takeServingShare(), 1);
+    // An entry queried its peers only after its hanging platform call had timed out after 2 s.
+    // By then its confirmation had expired, and it refused 113 of 1,248 calls.
+    it(`should keep ${count} entries serving all requests while calls to the platform hang`, async () => {
+      const simulation = await startFleet(count);
+      simulation.takeServingShare();
+      simulation.network.cutFromPlatform(simulation.ids);
+      await simulation.pass(30_000);
+      assert.equal(simulation.takeServingShare(), 1);
     });
   }
 
-  it("should not be forgotten by entries that are restarted in an outage", async () => {
-    const playing = await startFleet(5);
-    const late = playing.ids.slice(3);
-    playing.network.cutFromPlatform(late);
-    playing.network.cutFromPeers(late);
-    void playing.apply();
-    await playing.pass(2_000);
-    assert.equal(playing.accepted, 2);
-    playing.network.platformDown = true;
-    for (const at of [0, 1, 2]) playing.startEntry(at);
-    await playing.pass(100);
-    playing.network.cutFromPeers([]);
-    await playing.pass(14_000);
-    assert.deepEqual(playing.breaches, []);
-    playing.network.heal();
-    await playing.pass(5_000);
-    assert.ok(playing.isWhole);
+  it("should survive a restart of entries during an outage", async () => {
+    const simulation = await startFleet(5);
+    const isolatedIds = simulation.ids.slice(3);
+    simulation.network.cutFromPlatform(isolatedIds);
+    simulation.network.cutFromPeers(isolatedIds);
+    void simulation.apply();
+    await simulation.pass(2_000);
+    assert.equal(simulation.accepted, 2);
+    simulation.network.platformDown = true;
+    for (const index of [0, 1, 2]) simulation.startEntry(index);
+    await simulation.pass(100);
+    simulation.network.cutFromPeers([]);
+    await simulation.pass(14_000);
+    assert.deepEqual(simulation.breaches, []);
+    simulation.network.heal();
+    await simulation.pass(5_000);
+    assert.ok(simulation.isWhole);
   });
 
-  it("should be accepted after all entries but one have left as planned", async () => {
-    const playing = await startFleet(5);
-    for (const at of [1, 2, 3, 4]) void playing.leave(at);
-    await playing.pass(5_000);
-    void playing.apply();
-    await playing.pass(2_000);
-    assert.equal(playing.accepted, 2);
-    playing.network.platformDown = true;
-    playing.takeServingShare();
-    await playing.pass(14_000);
-    assert.equal(playing.takeServingShare(), 1);
+  it("should be accepted after a planned stop of all entries but one", async () => {
+    const simulation = await startFleet(5);
+    for (const index of [1, 2, 3, 4]) void simulation.leave(index);
+    await simulation.pass(5_000);
+    void simulation.apply();
+    await simulation.pass(2_000);
+    assert.equal(simulation.accepted, 2);
+    simulation.network.platformDown = true;
+    simulation.takeServingShare();
+    await simulation.pass(14_000);
+    assert.equal(simulation.takeServingShare(), 1);
   });
 
-  it("should not be missed by an entry that reports for the first time as it is accepted", async () => {
+  it("should reach an entry that sends its first report while the revision is being accepted", async () => {
     for (let startMs = 0; startMs < 40; startMs += 2) {
       for (let seed = 1; seed <= 5; seed++) {
-        const playing = fleet = new SimulatedFleet({ count: 1, seed });
-        playing.replaceClocks();
-        void playing.apply();
-        await playing.pass(1_000);
-        playing.network.watchesStuck = true;
-        void playing.apply();
-        await playing.pass(startMs, 1);
-        playing.startEntry(0);
-        await playing.pass(300, 1);
-        playing.network.cutFromPlatform(playing.ids);
-        await playing.pass(14_000);
-        const { breaches } = playing;
-        await playing.stop();
+        const simulation = fleet = new SimulatedFleet({ count: 1, seed });
+        simulation.replaceClocks();
+        void simulation.apply();
+        await simulation.pass(1_000);
+        simulation.network.watchesStuck = true;
+        void simulation.apply();
+        await simulation.pass(startMs, 1);
+        simulation.startEntry(0);
+        await simulation.pass(300, 1);
+        simulation.network.cutFromPlatform(simulation.ids);
+        await simulation.pass(14_000);
+        const { breaches } = simulation;
+        await simulation.stop();
         assert.deepEqual(breaches, [], `${startMs} ms, seed ${seed}`);
       }
     }
@@ -216,14 +216,14 @@
   });
 
   for (const count of [1, 5, 7, 65]) {
-    it(`should be in force whatever happens to ${count} entries`, async () => {
+    it(`should be in force under random fault schedules on ${count} entries`, async () => {
       await fc.assert(
         fc.asyncProperty(
           fc.nat(1_000),
           steps,
           (seed, schedule) => checkSchedule(count, { seed, schedule }),
         ),
-        { seed: 1, numRuns: runsOf(count), includeErrorInReport: true },
+        { seed: 1, numRuns: schedulesFor(count), includeErrorInReport: true },
       );
     });
   }
--- a/tests/bad_callers_test.ts
+++ b/tests/bad_callers_test.ts
@@ -8,7 +8,7 @@
 const KEY = "key-of-the-nursery";
 const TOKEN_MS = 2;
 
-describe("an entry with bad callers", () => {
+describe("an entry with misbehaving clients", () => {
   let fleet: TestFleet;
   let address: string;
 
@@ -51,29 +51,29 @@
     return [head.split(" ")[1], JSON.parse(body).error];
   }
 
-  const bad: [string, string, string, string][] = [
+  const malformedInputs: [string, string, string, string][] = [
     [
-      "headers that never end",
+      "incomplete headers",
       "GET /addresses HTTP/1.1\r\n",
       "408",
       "too_slow",
     ],
     [
-      "a body that never ends",
+      "an incomplete body",
       "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\n{",
       "408",
       "too_slow",
     ],
-    ["what is not HTTP", "hello\r\n\r\n", "400", "malformed"],
+    ["input that is not HTTP", "hello\r\n\r\n", "400", "malformed"],
     [
-      "headers that are too large",
+      "oversized headers",
       `GET / HTTP/1.1\r\nx: ${"x".repeat(20_000)}\r\n\r\n`,
       "400",
       "malformed",
     ],
   ];
-  for (const [what, bytes, status, code] of bad) {
-    test(`should answer ${what} with an error and go on serving`, async () => {
+  for (const [description, bytes, status, code] of malformedInputs) {
+    test(`should answer ${description} with an error and keep serving`, async () => {
       const [gotStatus, err] = statusAndError(await sendRaw(bytes));
       assert.equal(gotStatus, status);
       assert.equal(err.code, code);
@@ -82,7 +82,7 @@
     });
   }
 
-  test("should refuse more requests in flight than the account may have, at once", async () => {
+  test("should immediately refuse requests beyond the account's in-flight limit", async () => {
     const caller = new Caller(address, KEY);
     const long = {
       model: "m",
@@ -100,7 +100,7 @@
     }
   });
 
-  test("should stop the work of a caller that goes", async () => {
+  test("should cancel the backend request when the client disconnects", async () => {
     const before = Number((await fleet.counts("m-1")).cancelled);
     const [host, port] = address.split(":");
     const body = JSON.stringify({
@@ -121,7 +121,7 @@
     );
   });
 
-  test("should give up at the caller's deadline and tell that it may have run", async () => {
+  test("should stop at the client's deadline and report that the request may have run", async () => {
     const answer = await new Caller(address, KEY).call("/v1/chat/completions", {
       method: "POST",
       headers: { "fieldrack-deadline-ms": "50" },
@@ -136,7 +136,7 @@
     assert.equal(answer.json.error.ran, "maybe");
   });
 
-  test("should end a cut stream with an error that no caller takes for the end", async () => {
+  test("should end a truncated stream with an error event instead of the end marker", async () => {
     await fleet.setFaults("m-1", { cut_after_tokens: 3 });
     const cut = await new Caller(address, KEY).chat("m", { stream: true });
     await fleet.setFaults("m-1", { end_after_tokens: 3 });
@@ -148,13 +148,13 @@
     }
   });
 
-  test("should not pass on the answer to another request", async () => {
+  test("should not forward a response that belongs to another request", async () => {
     await fleet.setFaults("m-1", { wrong_id: true });
     const whole = await new Caller(address, KEY).chat("m");
     const stream = await new Caller(address, KEY).chat("m", { stream: true });
     await fleet.setFaults("m-1", {});
     assert.equal(whole.status, 502);
-    // By then the only server may have been ejected, which is a 503.
+    // The only server may have been ejected by then, which gives a 503.
     assert.ok(stream.status === 502 || stream.status === 503);
     assert.doesNotMatch(whole.text + stream.text, /right:/);
   });
--- a/tests/broken_run_test.ts
+++ b/tests/broken_run_test.ts
@@ -1,7 +1,7 @@
 /**
- * Found by reading the mend of limits: a request whose run broke off at a server with a limit found no place
- * for its next run, as the first had just taken it, and its caller got 502 with time to spare. The
- * same held where its servers rested.
+ * Guards against 502 responses to requests that still have time to wait for capacity. An attempt
+ * failed at a server with a concurrency limit, and no permit was free for the next attempt because
+ * the failed one had just taken it. The same happened where the servers had requested a backoff.
  */
 
 import assert from "node:assert/strict";
@@ -14,89 +14,91 @@
 } from "./fixtures/test_gateway.ts";
 import { until } from "./fixtures/test_fleet.ts";
 
-/** Callers whose runs break off together, and how often. */
-const CALLERS = 40;
+/** Concurrent requests whose attempts fail together, and the number of rounds. */
+const CONCURRENT_REQUESTS = 40;
 const ROUNDS = 10;
-const REST_S = 0.3;
-/** Enough for all of them. */
-const REPEATS = 2 * CALLERS * ROUNDS;
+const BACKOFF_S = 0.3;
+/** Enough retries for all requests of all rounds. */
+const RETRY_ALLOWANCE = 2 * CONCURRENT_REQUESTS * ROUNDS;
 
-describe("a request whose run broke off at servers without room", () => {
+describe("a request whose attempt failed at servers without capacity", () => {
   let gateway: TestGateway;
 
   beforeEach(async () => {
     gateway = new TestGateway();
-    await gateway.start([routeWire()], { retryAllowance: REPEATS });
+    await gateway.start([routeWire()], { retryAllowance: RETRY_ALLOWANCE });
   });
 
   afterEach(() => gateway.stop());
 
-  it("should wait for a place, if it has the time", async () => {
-    let breaks = false;
+  it("should wait for capacity within its time limit", async () => {
+    let closeNext = false;
     await gateway.addServer("i-1", ({ socket }) => {
-      if (!breaks) {
+      if (!closeNext) {
         return socket.write(answerBytes({ headers: "Server-Limit: 1\r\n" }));
       }
-      breaks = false;
+      closeNext = false;
       socket.destroy();
     });
     const call = () => gateway.call("/stock/1", { waitMs: 4_000 });
     await until(async () => (await call()).status === 503);
     await until(async () => (await call()).status === 200);
-    breaks = true;
-    // Refused while there is no place; the first that has one breaks off.
+    closeNext = true;
+    // Refused while no permit is free; the first request with a permit loses its connection.
     let answer = await call();
     while (answer.status === 503) answer = await call();
     assert.equal(answer.status, 200);
   });
 
-  it("should wait for the end of a rest, if it has the time", async () => {
+  it("should wait for the end of a backoff within its time limit", async () => {
     let mode: "sound" | "breaks" | "rests" = "sound";
-    let endRun = () => {};
+    let closeConnection = () => {};
     const server = await gateway.addServer("i-1", ({ socket }) => {
       if (mode === "rests") return socket.write(restBytes(0.5));
       if (mode === "sound") return socket.write(answerBytes());
       mode = "rests";
-      endRun = () => socket.destroy();
+      closeConnection = () => socket.destroy();
     });
     await until(async () => (await gateway.call("/stock/1")).status === 200);
-    const reached = server.requests.length;
+    const requestsBefore = server.requests.length;
     mode = "breaks";
     const running = gateway.call("/stock/1", { waitMs: 4_000 });
-    await until(() => Promise.resolve(server.requests.length > reached));
+    await until(() => Promise.resolve(server.requests.length > requestsBefore));
     assert.equal((await gateway.call("/stock/1")).status, 503);
     mode = "sound";
-    endRun();
+    closeConnection();
     assert.equal((await running).status, 200);
   });
 
-  it("should not miss the moment at which a rest ends", async () => {
-    // Seen once: the caller above got 502 as the rest ended, with three seconds to spare. Its VM
-    // looked for a server just before that end and for the time until it just after: neither
-    // look saw one that it could use or wait for. Shown by the order of the two looks alone.
+  it("should not fail when a backoff ends between two checks", async () => {
+    // The request above got a 502 as the backoff ended, with three seconds left. Its VM looked
+    // for an available server just before that end and read the remaining backoff just after it,
+    // so it found neither a server to use nor one to wait for.
     let mode: "sound" | "breaks" | "rests" = "sound";
-    let broken: (() => void)[] = [];
+    let closeConnections: (() => void)[] = [];
     const server = await gateway.addServer("i-1", ({ socket }) => {
-      if (mode === "rests") return socket.write(restBytes(REST_S));
+      if (mode === "rests") return socket.write(restBytes(BACKOFF_S));
       if (mode === "sound") return socket.write(answerBytes());
-      broken.push(() => socket.destroy());
+      closeConnections.push(() => socket.destroy());
     });
     await until(async () => (await gateway.call("/stock/1")).status === 200);
     for (let round = 0; round < ROUNDS; round++) {
-      const reached = server.requests.length;
+      const requestsBefore = server.requests.length;
       mode = "breaks";
       const running = Array.from(
-        { length: CALLERS },
+        { length: CONCURRENT_REQUESTS },
         (_, n) => gateway.call(`/stock/${n}`, { waitMs: 4_000 }),
       );
       await until(() =>
-        Promise.resolve(server.requests.length >= reached + CALLERS)
+        Promise.resolve(
+          server.requests.length >= requestsBefore + CONCURRENT_REQUESTS,
+        )
       );
       mode = "rests";
       assert.equal((await gateway.call("/stock/rest")).status, 503);
       mode = "sound";
-      for (const end of broken) end();
-      broken = [];
+      for (const end of closeConnections) end();
+      closeConnections = [];
       const statuses = (await Promise.all(running)).map(({ status }) => status);
       assert.deepEqual(statuses.filter((status) => status !== 200), []);
     }
--- a/tests/cascade_test.ts
+++ b/tests/cascade_test.ts
@@ -6,7 +6,7 @@
 
 const KEY = "key-of-the-nursery";
 
-describe("a cascade whose better model is away", () => {
+describe("a cascade whose larger model has no server", () => {
   let fleet: TestFleet;
 
   before(async () => {
@@ -32,7 +32,7 @@
 
   after(() => fleet.stop());
 
-  test("should pass on the poor answer rather than none, and count it", async () => {
+  test("should return the low-quality answer of the smaller model and count the escalation", async () => {
     const { callers, operators } = fleet.entry("entry-1");
     const answer = await new Caller(callers, KEY).chat("both");
     assert.equal(answer.status, 200);
--- a/tests/cold_server_test.ts
+++ b/tests/cold_server_test.ts
@@ -1,6 +1,6 @@
 /**
- * Servers come back cold, bear little for some seconds, and fall over when they get more.
- * Seen before: "cold server got 26 requests in one second; allowed 24.5".
+ * Guards against overloading servers after a cold start. They handle only a low rate for some
+ * seconds and fail above it: a cold server received 26 requests in one second with 24.5 allowed.
  */
 
 import assert from "node:assert/strict";
@@ -14,9 +14,9 @@
 import { until } from "./fixtures/test_fleet.ts";
 
 const SERVICE = { WarmupS: 3, WarmupPerS: 13 };
-/** Long enough to outlast a test. */
-const COLD = { WarmupLeftMs: 60_000 };
-const SOUTH = { Zone: "south" };
+/** Longer than any of these tests takes. */
+const COLD_START = { WarmupLeftMs: 60_000 };
+const SOUTH_ZONE = { Zone: "south" };
 
 let gateway: TestGateway;
 
@@ -38,37 +38,37 @@
 }
 
 describe("a cold server", () => {
-  it("should be passed by while others are warm, and used once it is warm", async () => {
+  it("should receive no requests while others are warm, and be used once it is warm", async () => {
     await start();
     const cold = await gateway.addServer("i-1", answerWhole, {
       WarmupLeftMs: 1_500,
     });
-    await gateway.addServer("i-2", answerWhole, SOUTH);
+    await gateway.addServer("i-2", answerWhole, SOUTH_ZONE);
     await untilServed();
-    const reached = cold.requests.length;
-    assert.equal(reached, 0);
+    const requestsBefore = cold.requests.length;
+    assert.equal(requestsBefore, 0);
     await until(async () => {
       assert.equal((await gateway.call("/stock/1")).status, 200);
-      return cold.requests.length > reached;
+      return cold.requests.length > requestsBefore;
     });
   });
 
-  it("should keep the fleet from more than it bears, where there is no other", async () => {
+  it("should limit the request rate of the fleet where it is the only server", async () => {
     await start();
-    await gateway.addServer("i-1", answerWhole, COLD);
-    // By then this VM takes itself for settled, and uses its part.
+    await gateway.addServer("i-1", answerWhole, COLD_START);
+    // From then on this VM counts itself as settled and uses its share of the rate.
     await untilServed();
     await until(async () => {
       const { status, headers } = await gateway.call("/stock/1");
-      // A caller refused for this may come back when the server is warm.
+      // Retry-After covers the remaining warm-up time.
       return status === 503 && Number(headers["retry-after"]) > 10;
     });
   });
 
-  it("should be presumed after an evacuation, before it can tell", async () => {
+  it("should be assumed after an evacuation, before the server reports it", async () => {
     await start();
     const near = await gateway.addServer("i-1", answerWhole);
-    const far = await gateway.addServer("i-2", answerWhole, SOUTH);
+    const far = await gateway.addServer("i-2", answerWhole, SOUTH_ZONE);
     await until(async () => {
       await gateway.call("/stock/1");
       return near.requests.length > 0;
@@ -78,12 +78,12 @@
       await gateway.call("/stock/1");
       return far.requests.length > 0;
     });
-    const reached = near.requests.length;
+    const requestsBefore = near.requests.length;
     const returnedMs = Date.now();
     gateway.store.kinds.remove("evacuations", "north");
     await until(async () => {
       assert.equal((await gateway.call("/stock/1")).status, 200);
-      return near.requests.length > reached;
+      return near.requests.length > requestsBefore;
     });
     assert.ok(Date.now() - returnedMs >= 1_000 * SERVICE.WarmupS);
   });
--- a/tests/commands_test.ts
+++ b/tests/commands_test.ts
@@ -7,19 +7,19 @@
 import { runFieldrack } from "./fixtures/fieldrack_process.ts";
 import { hashKey, TestFleet } from "./fixtures/test_fleet.ts";
 
-const model = (stable: string) => ({
+const configurationWithStable = (stable: string) => ({
   accounts: [{ id: "a", keys: [hashKey("k")], models: ["m"] }],
   models: [{ id: "m", stable, versions: [{ id: "v1" }, { id: "v2" }] }],
 });
 
-describe("the commands of operators", () => {
+describe("operator commands", () => {
   let fleet: TestFleet;
 
   before(async () => {
     fleet = await TestFleet.start({
       entries: [],
       backends: [{ id: "m-1", data_centre: "qc-hall", version: "m@v1" }],
-      configuration: model("v1"),
+      configuration: configurationWithStable("v1"),
     });
   });
 
@@ -35,10 +35,13 @@
     );
   }
 
-  test("should tell what applying would change, and apply nothing that is the same", async () => {
+  test("should show what apply would change, and not apply an unchanged configuration", async () => {
     const unchanged = await apply();
     assert.match(unchanged.stdout, /^Unchanged; revision 1 is in force/);
-    const directory = fleet.writeConfiguration("other", model("v2"));
+    const directory = fleet.writeConfiguration(
+      "other",
+      configurationWithStable("v2"),
+    );
     const diff = await runFieldrack(
       "diff",
       directory,
@@ -48,26 +51,26 @@
     assert.equal(diff.stdout, "~ models m\n1 change(s) from revision 1\n");
   });
 
-  test("should settle a lost answer and say that it was accepted", async () => {
-    fleet.writeConfiguration("configuration", model("v2"));
-    // The object's answer is lost first, then the head's.
+  test("should resolve a lost response and report the revision as accepted", async () => {
+    fleet.writeConfiguration("configuration", configurationWithStable("v2"));
+    // First the response to the object write is lost, then the one to the head write.
     await fleet.setFaults("platform", { lose_write_answers: 2 });
     const { code, stdout } = await apply();
     assert.equal(code, 0);
     assert.equal(stdout, "Accepted as revision 2\n");
   });
 
-  test("should say who was faster, and apply nothing", async () => {
-    fleet.writeConfiguration("configuration", model("v1"));
+  test("should report the newer revision on a conflict, and apply nothing", async () => {
+    fleet.writeConfiguration("configuration", configurationWithStable("v1"));
     const { code, stderr } = await apply("--expect", "1");
     assert.equal(code, 3);
     assert.match(stderr, /based on revision 1, but revision 2 is in force/);
   });
 
-  test("should accept one of two that race, and tell the other", async () => {
+  test("should accept one of two concurrent applies, and report a conflict to the other", async () => {
     const directories = ["v1", "v2"].map((stable) => {
       const cfg = {
-        ...model(stable),
+        ...configurationWithStable(stable),
         cascades: [{ id: `c-${stable}`, steps: ["m"] }],
       };
       return fleet.writeConfiguration(`race-${stable}`, cfg);
@@ -89,7 +92,7 @@
     assert.deepEqual(tags, ["accepted", "conflict"]);
   });
 
-  test("should say that nothing was applied while the platform is away", async () => {
+  test("should report that nothing was applied while the platform is down", async () => {
     await fleet.setFaults("platform", { down: true });
     const { code, stderr } = await apply("--timeout", "1");
     await fleet.setFaults("platform", {});
@@ -97,8 +100,11 @@
     assert.match(stderr, /^Nothing was applied: Platform is unavailable/);
   });
 
-  test("should say so when the outcome cannot be known, and settle it later", async () => {
-    const cfg = { ...model("v1"), cascades: [{ id: "late", steps: ["m"] }] };
+  test("should report an unknown outcome, and resolve it later by the apply ID", async () => {
+    const cfg = {
+      ...configurationWithStable("v1"),
+      cascades: [{ id: "late", steps: ["m"] }],
+    };
     fleet.writeConfiguration("configuration", cfg);
     await fleet.setFaults("platform", {
       lose_write_answers: 1,
@@ -115,7 +121,7 @@
     assert.equal(JSON.parse(settled.stdout).tag, "accepted");
   });
 
-  test("should refuse a bad directory with file and line, as text and as JSON", async () => {
+  test("should refuse an invalid directory with file and line, as text and as JSON", async () => {
     const directory = fleet.writeConfiguration("bad", {
       accounts: [{ id: "a", keys: [] }],
     });
@@ -126,7 +132,7 @@
     assert.equal(JSON.parse(json.stdout).problems[0].file, "all.yaml");
   });
 
-  test("should refuse bad settings with file, line, key and what is allowed", async () => {
+  test("should refuse invalid settings with file, line, key and allowed values", async () => {
     const path = join(fleet.directory, "settings.yaml");
     writeFileSync(
       path,
@@ -160,7 +166,7 @@
     assert.equal(String(hash).trim(), hashKey("k"));
   });
 
-  test("should answer wrong usage with help and exit code 2", async () => {
+  test("should answer incorrect usage with help and exit code 2", async () => {
     const { code, stderr } = await runFieldrack("nonsense");
     assert.equal(code, 2);
     assert.match(stderr, /fieldrack check/);
--- a/tests/demo_test.ts
+++ b/tests/demo_test.ts
@@ -6,15 +6,15 @@
 import { Caller } from "./fixtures/caller.ts";
 import { until } from "./fixtures/test_fleet.ts";
 
-test("should run both examples on loopback and end cleanly on Ctrl-C", async () => {
+test("should run both examples on loopback and exit cleanly on Ctrl-C", async () => {
   const child = spawn(process.execPath, ["dist/fieldrack.cjs", "demo"]);
   const exited = once(child, "exit");
-  let printed = "";
-  child.stdout.on("data", (data) => printed += String(data));
+  let output = "";
+  child.stdout.on("data", (data) => output += String(data));
   try {
-    await until(() => Promise.resolve(printed.includes("Ctrl-C")));
+    await until(() => Promise.resolve(output.includes("Ctrl-C")));
     const calls = [
-      ...printed.matchAll(
+      ...output.matchAll(
         /curl http:\/\/(\S+)\/v1.*\n.*Bearer (\S+)'.*\n.*-d '(.*)'/g,
       ),
     ];
--- a/tests/end_to_end_test.ts
+++ b/tests/end_to_end_test.ts
@@ -8,7 +8,7 @@
 import { hashKey, TestFleet } from "./fixtures/test_fleet.ts";
 
 const KEY = "key-of-the-nursery";
-const POOR_KEY = "key-without-models";
+const RESTRICTED_KEY = "key-without-models";
 const HARD_PROMPT_QUALITY = 0;
 
 const configuration = {
@@ -19,7 +19,7 @@
       models: ["small", "large", "both", "orphan"],
       services: ["tills"],
     },
-    { id: "poor", keys: [hashKey(POOR_KEY)], models: ["large"] },
+    { id: "poor", keys: [hashKey(RESTRICTED_KEY)], models: ["large"] },
   ],
   models: [
     { id: "small", stable: "v1", versions: [{ id: "v1" }] },
@@ -71,7 +71,7 @@
 
   after(() => fleet.stop());
 
-  test("should answer as JSON and name request, model and version", async () => {
+  test("should answer with JSON that identifies request, model and version", async () => {
     const answer = await caller.chat("large");
     assert.equal(answer.status, 200);
     assert.match(answer.json.choices[0].message.content, /^right:/);
@@ -80,7 +80,7 @@
     assert.equal(answer.json.id, answer.headers["fieldrack-request-id"]);
   });
 
-  test("should stream an answer to its proper end", async () => {
+  test("should stream an answer up to the end marker", async () => {
     const answer = await caller.chat("large", { stream: true });
     assert.equal(
       answer.headers["content-type"],
@@ -99,7 +99,7 @@
 
   for (const stream of [false, true]) {
     const form = stream ? "stream" : "JSON";
-    test(`should escalate a cascade when the cheap answer is poor (${form})`, async () => {
+    test(`should escalate a cascade when the smaller model's answer is poor (${form})`, async () => {
       const answer = await caller.chat("both", { stream });
       assert.equal(answer.status, 200);
       assert.equal(answer.headers["fieldrack-model"], "large");
@@ -108,7 +108,7 @@
     });
   }
 
-  test("should pass calls on to a plain service", async () => {
+  test("should forward requests to a plain service", async () => {
     const answer = await caller.call("/services/tills/stock/12?hall=qc");
     assert.equal(answer.status, 200);
     assert.deepEqual(answer.json, {
@@ -118,7 +118,7 @@
     });
   });
 
-  test("should not let a path climb out of the routes of a service", async () => {
+  test("should refuse paths with dot segments that leave a service's routes", async () => {
     for (
       const path of [
         "/stock/../stamps",
@@ -136,7 +136,7 @@
     }
   });
 
-  test("should run a call that may not be repeated once, though its answer is lost", async () => {
+  test("should run a non-repeatable request only once when its response is lost", async () => {
     await fleet.setFaults("till-1", { cut_after_effect: true });
     const answer = await caller.call("/services/tills/stamps", {
       method: "POST",
@@ -149,7 +149,7 @@
     assert.equal((await fleet.counts("till-1"))["stamp-1"], 1);
   });
 
-  test("should tell callers the addresses of all entries, nearest first", async () => {
+  test("should return the addresses of all entries, nearest first", async () => {
     const { json } = await caller.call("/addresses?data_centre=pasig-hall");
     assert.equal(json.addresses[0].address, fleet.entry("entry-2").callers);
     assert.equal(json.addresses.length, 3);
@@ -165,14 +165,17 @@
     assert.equal(answer.json.error.ran, "no");
   });
 
-  test("should refuse a model that the account is not allowed", async () => {
-    const answer = await new Caller(fleet.entry("entry-3").callers, POOR_KEY)
+  test("should refuse a model that the account may not use", async () => {
+    const answer = await new Caller(
+      fleet.entry("entry-3").callers,
+      RESTRICTED_KEY,
+    )
       .chat("small");
     assert.equal(answer.status, 403);
   });
 
-  test("should refuse a service that the account is not allowed", async () => {
-    const poor = new Caller(fleet.entry("entry-3").callers, POOR_KEY);
+  test("should refuse a service that the account may not use", async () => {
+    const poor = new Caller(fleet.entry("entry-3").callers, RESTRICTED_KEY);
     assert.equal((await poor.call("/services/tills/stock/1")).status, 403);
   });
 
@@ -195,19 +198,19 @@
       "messages.0.role",
     ],
   ];
-  for (const [what, body, where] of malformed) {
-    test(`should refuse ${what} and say where`, async () => {
+  for (const [description, body, location] of malformed) {
+    test(`should refuse ${description} and report its location`, async () => {
       const answer = await caller.call("/v1/chat/completions", {
         method: "POST",
         body,
       });
       assert.equal(answer.status, 400);
-      assert.equal(answer.json.error.where, where);
+      assert.equal(answer.json.error.where, location);
       assert.equal(answer.json.error.ran, "no");
     });
   }
 
-  test("should refuse headers that make no sense", async () => {
+  test("should refuse invalid header values", async () => {
     const bad: Record<string, string>[] = [
       { "fieldrack-deadline-ms": "soon" },
       { "fieldrack-session": "a b" },
@@ -223,7 +226,7 @@
     }
   });
 
-  test("should refuse a body over the limit and go on serving", async () => {
+  test("should refuse a body over the limit and keep serving", async () => {
     const body = Buffer.alloc(9 * 1024 * 1024, "x");
     const answer = await caller.call("/v1/chat/completions", {
       method: "POST",
@@ -233,7 +236,7 @@
     assert.equal((await caller.chat("large")).status, 200);
   });
 
-  test("should say when to come back where no server is there", async () => {
+  test("should return a retry time when a model has no server", async () => {
     const answer = await caller.chat("orphan");
     assert.equal(answer.status, 503);
     assert.equal(answer.json.error.ran, "no");
@@ -255,7 +258,7 @@
     assert.equal(status.members.length, 3);
   });
 
-  test("should log a change of state as a line of JSON", () => {
+  test("should log a state change as one line of JSON", () => {
     const lines = fleet.entry("entry-1").process.stderr.split("\n").slice(
       0,
       -1,
@@ -264,7 +267,7 @@
     assert.ok(messages.includes("Configuration is in force"), messages.join());
   });
 
-  test("should keep the peers' interface from callers", async () => {
+  test("should refuse a wrong key on the peer interface", async () => {
     const answer = await new Caller(fleet.entry("entry-1").peers, "guess").call(
       "/head",
     );
--- a/tests/entry_ran_test.ts
+++ b/tests/entry_ran_test.ts
@@ -1,13 +1,12 @@
 /**
- * Read in the code, then seen in these tests: a stream was cut at its server before its first
- * event had reached the caller, and the caller was told that no server had run it: 503, 401, or
- * 502 with `ran: "no"`. How: the second round of tries began as if nothing had been sent, so
- * whatever kept it from a server was all that the caller was told. Cause: what earlier tries
- * had shown was forgotten between two calls of the dispatcher.
+ * Guards against reporting a request as not run after a server may have run it. A stream was cut
+ * before its first event reached the client, and the client got 503, 401 or 502 with `ran: "no"`.
+ * The second round of attempts started without the outcome of the first, so only the last reason
+ * for not reaching a server was reported.
  *
- * The same between two steps of a cascade, whole or streamed: the first step's server broke off
- * what it ran, the second step had no server or one that refused, and only the last error was
- * told. Cause: each step's error replaced that of the step before.
+ * The same happened between the steps of a cascade, with whole and streamed answers: the first
+ * step's server failed during the attempt, the second step had no server or one that refused, and
+ * the error of the second step replaced that of the first.
  */
 
 import assert from "node:assert/strict";
@@ -16,15 +15,18 @@
 import { executionStatusOf, httpStatusOf } from "../src/core/request_error.ts";
 import { CASCADE, type Play, TestChat } from "./fixtures/test_chat.ts";
 
-const REFUSED: BackendError = { tag: "refused", reason: "ECONNREFUSED" };
-const CUT: Play = () => [[{
+const CONNECTION_REFUSED: BackendError = {
+  tag: "refused",
+  reason: "ECONNREFUSED",
+};
+const STREAM_CUT: Play = () => [[{
   tag: "cut",
   error: { tag: "failed", reason: "ECONNRESET" },
 }]];
 
 describe("a stream that was cut before its first event", () => {
-  test("should be told as one that may have run where no other server is there", async () => {
-    const chat = new TestChat({ "small-1": CUT });
+  test("should be reported as possibly run when there is no other server", async () => {
+    const chat = new TestChat({ "small-1": STREAM_CUT });
     const err = await chat.stream("small");
     assert.deepEqual(chat.tries, ["small-1"]);
     assert.ok(err);
@@ -32,13 +34,13 @@
     assert.equal(httpStatusOf(err), 502);
   });
 
-  test("should be told as one that may have run where its key was withdrawn meanwhile", async () => {
+  test("should be reported as possibly run when its key is withdrawn during the attempt", async () => {
     const chat: TestChat = new TestChat({
       "small-1": (call) => {
         chat.withdrawKey();
-        return CUT(call);
+        return STREAM_CUT(call);
       },
-      "small-2": CUT,
+      "small-2": STREAM_CUT,
     });
     const err = await chat.stream("small");
     assert.deepEqual(chat.tries, ["small-1"]);
@@ -47,8 +49,11 @@
     assert.equal(httpStatusOf(err), 502);
   });
 
-  test("should be told as one that may have run where the next server refuses it", async () => {
-    const chat = new TestChat({ "small-1": CUT, "small-2": () => REFUSED });
+  test("should be reported as possibly run when the next server refuses the connection", async () => {
+    const chat = new TestChat({
+      "small-1": STREAM_CUT,
+      "small-2": () => CONNECTION_REFUSED,
+    });
     const err = await chat.stream("small");
     assert.deepEqual(chat.tries, ["small-1", "small-2"]);
     assert.ok(err);
@@ -56,9 +61,9 @@
     assert.equal(httpStatusOf(err), 502);
   });
 
-  test("should be told as one that may have run where its time ends before the next byte", async () => {
+  test("should be reported as possibly run when its deadline ends before the next byte", async () => {
     const chat: TestChat = new TestChat({
-      "small-1": CUT,
+      "small-1": STREAM_CUT,
       "small-2": () => {
         chat.deadline.cancel();
         return { tag: "aborted", sent: false };
@@ -72,29 +77,29 @@
   });
 });
 
-describe("a stream that no server took", () => {
-  test("should be told as one that has not run", async () => {
-    const chat = new TestChat({ "small-1": () => REFUSED });
+describe("a stream that no server accepted", () => {
+  test("should be reported as not run", async () => {
+    const chat = new TestChat({ "small-1": () => CONNECTION_REFUSED });
     const err = await chat.stream("small");
     assert.ok(err);
     assert.equal(executionStatusOf(err), "no");
   });
 });
 
-const FAILED: Play = () => ({ tag: "failed", reason: "ECONNRESET" });
-const SECOND_STEPS: [string, Record<string, Play>, number][] = [
+const CONNECTION_FAILED: Play = () => ({ tag: "failed", reason: "ECONNRESET" });
+const SECOND_STEP_OUTCOMES: [string, Record<string, Play>, number][] = [
   ["has no server", {}, 502],
-  ["is refused", { "large-1": () => REFUSED }, 502],
-  ["is given up unsent", {
+  ["is refused", { "large-1": () => CONNECTION_REFUSED }, 502],
+  ["is aborted before it is sent", {
     "large-1": () => ({ tag: "aborted", sent: false }),
   }, 504],
 ];
 
 for (const form of ["answer", "stream"] as const) {
   describe(`a cascade whose first step may have run (${form})`, () => {
-    for (const [what, second, status] of SECOND_STEPS) {
-      test(`should be told as one that may have run where the second ${what}`, async () => {
-        const chat = new TestChat({ "small-1": FAILED, ...second });
+    for (const [outcome, second, status] of SECOND_STEP_OUTCOMES) {
+      test(`should be reported as possibly run when the second step ${outcome}`, async () => {
+        const chat = new TestChat({ "small-1": CONNECTION_FAILED, ...second });
         const err = await chat[form](CASCADE);
         assert.deepEqual(chat.tries, ["small-1", ...Object.keys(second)]);
         assert.ok(err);
@@ -104,9 +109,9 @@
     }
   });
 
-  describe(`a cascade of which no step was taken (${form})`, () => {
-    test("should be told as one that has not run, and when to come back", async () => {
-      const chat = new TestChat({ "small-1": () => REFUSED });
+  describe(`a cascade of which no server accepted a step (${form})`, () => {
+    test("should be reported as not run, with status 503", async () => {
+      const chat = new TestChat({ "small-1": () => CONNECTION_REFUSED });
       const err = await chat[form](CASCADE);
       assert.ok(err);
       assert.equal(executionStatusOf(err), "no");
--- a/tests/entry_rest_test.ts
+++ b/tests/entry_rest_test.ts
@@ -1,7 +1,8 @@
 /**
- * A model server that is full turns a request away and says for how long it wants nothing. Read in
- * the code, then seen here: an entry did not hear that, and sent it the next request at once, until
- * three had failed in a row. Cause: of an answer that is an error, only its status and text were read.
+ * Guards against sending requests to a model server during the backoff that it requested. A full
+ * server rejects a request and states how long to send it none. Of an error response only the
+ * status and the text were read, so the entry sent the next request immediately, until three in a
+ * row had failed.
  */
 
 import assert from "node:assert/strict";
@@ -19,44 +20,47 @@
 import { Deadline } from "../src/runtime/deadline.ts";
 import { TestChat, token } from "./fixtures/test_chat.ts";
 
-const REST_MS = 3_000;
-const FULL: BackendError = {
+const BACKOFF_MS = 3_000;
+const SERVER_FULL: BackendError = {
   tag: "rejected",
   status: 503,
   reason: "full",
-  restMs: REST_MS,
+  restMs: BACKOFF_MS,
 };
-const GOOD = () => [[token("ok", "good")]];
+const GOOD_ANSWER = () => [[token("ok", "good")]];
 const ID = "small-1" as BackendId;
 
-describe("a model server that asks an entry for rest", () => {
-  it("should get no request meanwhile", async () => {
-    const chat = new TestChat({ "small-1": () => FULL, "small-2": GOOD });
+describe("a model server that requests a backoff", () => {
+  it("should get no requests during its backoff", async () => {
+    const chat = new TestChat({
+      "small-1": () => SERVER_FULL,
+      "small-2": GOOD_ANSWER,
+    });
     assert.equal(await chat.answer("small"), undefined);
     assert.equal(await chat.answer("small"), undefined);
     assert.deepEqual(chat.tries, ["small-1", "small-2", "small-2"]);
   });
 
-  it("should get none where no other is left, and callers be told when", async () => {
-    const chat = new TestChat({ "small-1": () => FULL });
+  it("should get none where it is the only server, and clients should get the remaining time", async () => {
+    const chat = new TestChat({ "small-1": () => SERVER_FULL });
     await chat.answer("small");
     const err = await chat.answer("small");
     assert.deepEqual(chat.tries, ["small-1"]);
-    assert.equal(err?.tag === "no_server" && err.retryAfterMs, REST_MS);
+    assert.equal(err?.tag === "no_server" && err.retryAfterMs, BACKOFF_MS);
   });
 
-  it("should be available again after its rest, whatever shorter one it asks for", () => {
+  it("should stay unavailable for its longest backoff when it requests a shorter one", () => {
     const pool = new ServerPool();
-    pool.backOff(ID, { restMs: REST_MS, nowMs: 0 });
+    pool.backOff(ID, { restMs: BACKOFF_MS, nowMs: 0 });
     pool.backOff(ID, { restMs: 10, nowMs: 0 });
-    assert.equal(pool.isAvailable(ID, REST_MS - 1), false);
-    assert.equal(pool.availableInMs(ID, REST_MS - 1), 1);
-    assert.equal(pool.isAvailable(ID, REST_MS), true);
+    assert.equal(pool.isAvailable(ID, BACKOFF_MS - 1), false);
+    assert.equal(pool.availableInMs(ID, BACKOFF_MS - 1), 1);
+    assert.equal(pool.isAvailable(ID, BACKOFF_MS), true);
   });
 
-  it("should be heard by its answers", async () => {
+  it("should have its backoff read from each kind of response", async () => {
     const http = createServer((_req, res) => {
-      res.writeHead(503, { "retry-after": String(REST_MS / 1_000) }).end(
+      res.writeHead(503, { "retry-after": String(BACKOFF_MS / 1_000) }).end(
         "full",
       );
     });
@@ -64,13 +68,13 @@
     await once(http, "listening");
     const url = `http://127.0.0.1:${(http.address() as AddressInfo).port}`;
     const dispatcher = new Agent();
-    const deadline = new Deadline(REST_MS);
+    const deadline = new Deadline(BACKOFF_MS);
     const server = { url } as BackendServer;
     const call = { server, requestId: "r" as RequestId, deadline };
     const model = { ...call, body: "{}", priority: "standard" };
     const models = new HttpModelServers(dispatcher);
     const plain = new HttpPlainServices(dispatcher);
-    const heard = [
+    const backoffs = [
       await models.chat(model),
       await models.stream(model),
       await plain.call({
@@ -87,6 +91,6 @@
     deadline.close();
     await dispatcher.close();
     http.close();
-    assert.deepEqual(heard, [REST_MS, REST_MS, REST_MS]);
+    assert.deepEqual(backoffs, [BACKOFF_MS, BACKOFF_MS, BACKOFF_MS]);
   });
 });
--- a/tests/evacuation_test.ts
+++ b/tests/evacuation_test.ts
@@ -1,7 +1,7 @@
 /**
- * A data centre is evacuated while its servers are up and answer. Seen before: a VM that did
- * not follow the orders sent 1,786 requests there after the 5 s that operators allow, on a
- * day with 15 VMs, and went on to the order's end.
+ * Guards against requests to an evacuated data centre, whose servers are still up and answer. With
+ * 15 VMs, one VM that did not apply the evacuation sent 1,786 requests there after the 5 s that
+ * operators allow, and went on until the evacuation ended.
  */
 
 import assert from "node:assert/strict";
@@ -18,11 +18,11 @@
 import { until } from "./fixtures/test_fleet.ts";
 
 const BOUNDS = { evacuationMs: 5_000 };
-/** Requests one after the other; a VM sends them all to its own data centre, if it may. */
+/** Sequential requests; a VM sends all of them to its own data centre unless it is evacuated. */
 const CALLS = 10;
-/** Longer than a test takes. */
-const LONG = { waitMs: 60_000 };
-const SOUTH = { Zone: "south" };
+/** Longer than any of these tests takes. */
+const LONG_WAIT = { waitMs: 60_000 };
+const SOUTH_ZONE = { Zone: "south" };
 
 let gateway: TestGateway;
 
@@ -42,8 +42,8 @@
   await until(async () => (await gateway.call("/stock/1")).status === 200);
 }
 
-/** Whether some requests all passed a server by, and were served. */
-async function isPassedBy(server: RawServer): Promise<boolean> {
+/** Whether several requests were all served without reaching the given server. */
+async function receivesNoRequests(server: RawServer): Promise<boolean> {
   const before = server.requests.length;
   for (let n = 0; n < CALLS; n++) {
     if ((await gateway.call("/stock/1")).status !== 200) return false;
@@ -52,52 +52,52 @@
 }
 
 describe("an evacuated data centre", () => {
-  it("should get nothing new until the order is taken back", async () => {
+  it("should get no new requests until the evacuation is withdrawn", async () => {
     const { near } = await serveFromBoth();
     evacuate("north");
-    await until(() => isPassedBy(near));
+    await until(() => receivesNoRequests(near));
     gateway.store.kinds.remove("evacuations", "north");
-    await until(async () => !(await isPassedBy(near)));
+    await until(async () => !(await receivesNoRequests(near)));
   });
 
-  it("should stay so while the store is away, and after its history is lost", async () => {
+  it("should stay evacuated while the store is down, and after the store lost its history", async () => {
     const { near } = await serveFromBoth();
     evacuate("north");
-    await until(() => isPassedBy(near));
+    await until(() => receivesNoRequests(near));
     gateway.store.setFaults({ down: true });
-    assert.ok(await isPassedBy(near));
+    assert.ok(await receivesNoRequests(near));
     gateway.store.setFaults({});
     gateway.store.kinds.forgetHistory();
     gateway.store.kinds.releaseWatches();
-    assert.ok(await isPassedBy(near));
+    assert.ok(await receivesNoRequests(near));
     gateway.store.kinds.remove("evacuations", "north");
-    await until(async () => !(await isPassedBy(near)));
+    await until(async () => !(await receivesNoRequests(near)));
   });
 
-  it("should be known to a VM that starts before it serves anything", async () => {
+  it("should be known to a starting VM before it serves any request", async () => {
     evacuate("north");
     await gateway.start([routeWire()], BOUNDS);
     const near = await gateway.addServer("i-1", answerWhole);
     assert.equal((await gateway.call("/stock/1")).status, 503);
-    await gateway.addServer("i-2", answerWhole, SOUTH);
+    await gateway.addServer("i-2", answerWhole, SOUTH_ZONE);
     await untilServed();
     assert.equal(near.requests.length, 0);
   });
 
-  it("should refuse, as not run, where no data centre is left", async () => {
+  it("should cause refusals, reported as not run, where no other data centre is left", async () => {
     await gateway.start([routeWire()], BOUNDS);
     const server = await gateway.addServer("i-1", answerWhole);
     await untilServed();
     evacuate("north");
     await until(async () => (await gateway.call("/stock/1")).status === 503);
-    const reached = server.requests.length;
+    const requestsBefore = server.requests.length;
     const answer = await gateway.call("/stock/1");
     assert.equal(answer.status, 503);
     assert.ok(Number(answer.headers["retry-after"]) > 0);
-    assert.equal(server.requests.length, reached);
+    assert.equal(server.requests.length, requestsBefore);
   });
 
-  it("should end the streams that run there", async () => {
+  it("should let its open streams finish", async () => {
     const { body, south } = await streamFromSouth();
     evacuate("south");
     await untilRefused();
@@ -108,12 +108,12 @@
     assert.match(await body.text(), /data: a\n\nid: 2\ndata: b/);
   });
 
-  it("should get no stream back that breaks off there", async () => {
+  it("should not get a broken stream back", async () => {
     const { body, south } = await streamFromSouth();
     evacuate("south");
     await untilRefused();
-    const reached = south.requests.length;
-    // Only the broken stream is asked for from its second event on.
+    const requestsBefore = south.requests.length;
+    // Only the broken stream is resumed from its second event on.
     await gateway.addServer("i-1", ({ socket }) => {
       const whole = streamBytes("id: 2\ndata: north\n\n");
       socket.write(`${whole}0\r\n\r\n`);
@@ -121,34 +121,34 @@
     await until(async () => (await gateway.call("/stock/2")).status === 200);
     for (const { socket } of south.requests) socket.destroy();
     assert.match(await body.text(), /data: a\n\nid: 2\ndata: north/);
-    assert.equal(south.requests.length, reached);
+    assert.equal(south.requests.length, requestsBefore);
   });
 });
 
 /**
- * Starts a VM of the north before a server of its own data centre, which it prefers, and one
- * of the south.
+ * Starts a VM in the north in front of a server of its own data centre, which it prefers, and one
+ * in the south.
  */
 async function serveFromBoth(): Promise<{ readonly near: RawServer }> {
   await gateway.start([routeWire()], BOUNDS);
   const near = await gateway.addServer("i-1", answerWhole);
-  await gateway.addServer("i-2", answerWhole, SOUTH);
-  await until(async () => !(await isPassedBy(near)));
+  await gateway.addServer("i-2", answerWhole, SOUTH_ZONE);
+  await until(async () => !(await receivesNoRequests(near)));
   return { near };
 }
 
-/** Opens a stream at a server in the south, which has sent one event of it. */
+/** Opens a stream on a server in the south that has sent its first event. */
 async function streamFromSouth() {
   await gateway.start([STREAM_ROUTE], BOUNDS);
   const south = await gateway.addServer(
     "i-2",
     ({ socket }) => socket.write(streamBytes("id: 1\ndata: a\n\n")),
-    SOUTH,
+    SOUTH_ZONE,
   );
-  let body = await gateway.open("/stock/1", LONG);
+  let body = await gateway.open("/stock/1", LONG_WAIT);
   await until(async () => {
     if (south.requests.length > 0) return true;
-    body = await gateway.open("/stock/1", LONG);
+    body = await gateway.open("/stock/1", LONG_WAIT);
     return south.requests.length > 0;
   });
   return { body, south };
@@ -160,7 +160,7 @@
       const { status } = await gateway.call("/stock/2", { waitMs: 300 });
       return status === 503;
     } catch {
-      // A stream that began before the order was known here is cut when its time is up.
+      // A stream that started before this VM received the evacuation is cut at its time limit.
       return false;
     }
   });
--- a/tests/gateway_fleet_test.ts
+++ b/tests/gateway_fleet_test.ts
@@ -7,12 +7,12 @@
 import { answerBytes, serverWire } from "./fixtures/test_gateway.ts";
 import { until } from "./fixtures/test_fleet.ts";
 
-/** More than a fleet in which each VM is a relay. */
+/** More VMs than a fleet in which each VM is a relay. */
 const VMS = 15;
-/** Readers of a fleet of this size; in one data centre of it they are its relays. */
+/** Store readers in a fleet of this size; with a single data centre they are its relays. */
 const READERS = 2;
-/** Kinds that a reader watches while no roll-out is open: trials are not among them. */
-const KINDS = 3;
+/** Kinds that a reader watches while no roll-out is open, which excludes trials. */
+const WATCHED_KINDS = 3;
 
 let fleet: GatewayFleet;
 
@@ -23,22 +23,22 @@
 
 afterEach(() => fleet.stop());
 
-/** Changes the configuration, and waits until so many VMs have it. */
-async function untilInForce(path: string, vms: number): Promise<void> {
+/** Changes the configuration and waits until the given number of VMs serve it. */
+async function configureUntilServed(path: string, vms: number): Promise<void> {
   fleet.configure(path);
   await until(async () => (await fleet.serving(path)).length === vms);
 }
 
-/** Waits until the store is watched by its readers only. */
+/** Waits until only the readers watch the store. */
 async function untilRelayed(): Promise<void> {
   await until(() =>
-    Promise.resolve(fleet.store.kinds.waiting === READERS * KINDS)
+    Promise.resolve(fleet.store.kinds.waiting === READERS * WATCHED_KINDS)
   );
 }
 
 function relayNames(): string[] {
-  const members = Array.from({ length: VMS }, (_, at) => ({
-    id: `edge-${at}`,
+  const members = Array.from({ length: VMS }, (_, index) => ({
+    id: `edge-${index}`,
     data_centre: "north",
     state: "alive",
   })) as unknown as Member[];
@@ -47,30 +47,30 @@
 }
 
 describe("fleet of gateways", () => {
-  it("should watch the store by its readers only, and learn of changes by them", async () => {
+  it("should watch the store through its readers only, and receive changes from them", async () => {
     await untilRelayed();
-    await untilInForce("/relayed/", VMS);
+    await configureUntilServed("/relayed/", VMS);
   });
 
-  it("should choose new relays when those that there are have been killed", async () => {
+  it("should select new relays after the current ones are killed", async () => {
     await untilRelayed();
     const relays = relayNames();
     await Promise.all(relays.map((vm) => fleet.kill(vm)));
-    await untilInForce("/after/", VMS - relays.length);
+    await configureUntilServed("/after/", VMS - relays.length);
   });
 
-  // With relays that all read, a fleet bore such a loss unnoticed; with few readers, in a
-  // first form, those that had lost the store and their successors took turns for as long.
-  for (const how of ["silence", "resets"] as const) {
-    it(`should choose readers anew when ${how} keep both from the store`, async () => {
+  // When all relays read the store, such a loss had no effect. With few readers, the ones that
+  // had lost the store and their successors could replace each other for as long as it lasted.
+  for (const fault of ["silence", "resets"] as const) {
+    it(`should select new readers when both lose the store (${fault})`, async () => {
       await untilRelayed();
-      for (const vm of relayNames()) fleet.cutOff(vm, how);
-      await untilInForce(`/beyond-${how}/`, VMS);
+      for (const vm of relayNames()) fleet.cutOff(vm, fault);
+      await configureUntilServed(`/beyond-${fault}/`, VMS);
     });
   }
 
-  // A change that no watch of a reader told of came to no VM of the fleet, however long it took.
-  it("should learn of a removed server though the watches of all readers tell nothing", async () => {
+  // A change that no reader's watch reported never reached any VM of the fleet.
+  it("should detect a removed server when the watches of all readers are stuck", async () => {
     await untilRelayed();
     const server = new RawServer(({ socket }) => socket.write(answerBytes()));
     const spec = serverWire(await server.listen());
@@ -82,7 +82,7 @@
     await server.close();
   });
 
-  it("should tell all VMs of a planned stop by the relays", async () => {
+  it("should notify all VMs of a planned stop through the relays", async () => {
     await untilRelayed();
     const relays = relayNames();
     const leaving = relays.includes("edge-3") ? "edge-4" : "edge-3";
--- a/tests/gateway_test.ts
+++ b/tests/gateway_test.ts
@@ -13,7 +13,10 @@
 } from "./fixtures/test_gateway.ts";
 import { until } from "./fixtures/test_fleet.ts";
 
-const ONCE = routeWire({ RouteType: "non_idempotent", MaxAttempts: 1 });
+const NON_IDEMPOTENT_ROUTE = routeWire({
+  RouteType: "non_idempotent",
+  MaxAttempts: 1,
+});
 
 let gateway: TestGateway;
 
@@ -31,7 +34,7 @@
 const answerWhole = ({ socket }: RawRequest) => socket.write(answerBytes());
 
 describe("gateway", () => {
-  it("should pass a request on with the account's name and without its key", async () => {
+  it("should forward a request with the account's name and without its key", async () => {
     await gateway.start([routeWire()]);
     const server = await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -55,7 +58,7 @@
     assert.ok(Number(answer.headers["retry-after"]) > 0);
   });
 
-  it("should follow changes of the configuration, and never go back", async () => {
+  it("should apply configuration changes, and never revert to an older version", async () => {
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -69,7 +72,7 @@
     assert.equal((await gateway.call("/moved/1")).status, 200);
   });
 
-  it("should keep the last configuration where a new one is not understood", async () => {
+  it("should keep the last configuration when a new one cannot be parsed", async () => {
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -80,7 +83,7 @@
     assert.equal((await gateway.call("/stock/1")).status, 200);
   });
 
-  it("should learn of changes although watches hear nothing", async () => {
+  it("should receive changes while watches are stuck", async () => {
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -89,7 +92,7 @@
     await untilServed("/moved/1");
   });
 
-  it("should refuse keys, as not run, once nothing confirms them any more", async () => {
+  it("should refuse requests, reported as not run, once the confirmation of keys expired", async () => {
     await gateway.start([routeWire()], { keyRemovalMs: 1_000 });
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -99,7 +102,7 @@
     await untilServed();
   });
 
-  it("should list again after the store has forgotten its history", async () => {
+  it("should list again after the store has lost its history", async () => {
     await gateway.start([routeWire()]);
     await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -109,7 +112,7 @@
     await untilServed("/moved/1");
   });
 
-  it("should give no new work to a server that is leaving", async () => {
+  it("should send no new requests to a draining server", async () => {
     await gateway.start([routeWire()]);
     const leaving = await gateway.addServer("i-1", answerWhole);
     await untilServed();
@@ -126,14 +129,14 @@
     });
   });
 
-  it("should ask another server where one did not run the request", async () => {
-    await gateway.start([ONCE]);
+  it("should try another server when one did not run the request", async () => {
+    await gateway.start([NON_IDEMPOTENT_ROUTE]);
     const full = await gateway.addServer(
       "i-1",
       ({ socket }) => socket.write(notRunBytes()),
     );
     await gateway.addServer("i-2", answerWhole);
-    // The second server is learnt a moment later; from then on no call may fail.
+    // The second server becomes known a moment later; from then on no call may fail.
     await untilServed();
     const before = full.requests.length;
     await until(async () => {
@@ -142,8 +145,8 @@
     });
   });
 
-  it("should never send a request again that may run only once", async () => {
-    await gateway.start([ONCE]);
+  it("should never retry a non-idempotent request", async () => {
+    await gateway.start([NON_IDEMPOTENT_ROUTE]);
     const server = await gateway.addServer("i-1", ({ socket }) => socket.end());
     const other = await gateway.addServer("i-2", ({ socket }) => socket.end());
     await until(async () => (await gateway.call("/stock/1")).status === 502);
@@ -154,7 +157,7 @@
     assert.equal(server.requests.length + other.requests.length, before + 1);
   });
 
-  it("should repeat what may be repeated, on another server", async () => {
+  it("should retry an idempotent request on another server", async () => {
     await gateway.start([routeWire()]);
     const failing = await gateway.addServer("i-1", ({ socket }) => {
       socket.write(answerBytes({ status: "500 Internal Server Error" }));
@@ -167,20 +170,20 @@
     });
   });
 
-  it("should answer at the time limit of the route, and not say that nothing ran", async () => {
+  it("should answer 504 at the time limit of the route", async () => {
     await gateway.start([routeWire({ TimeoutMs: 300 })]);
     await gateway.addServer("i-1", () => {});
     await until(async () => (await gateway.call("/stock/1")).status === 504);
   });
 
-  it("should go on with a stream on another server inside the same answer", async () => {
+  it("should resume a stream on another server within the same response", async () => {
     await gateway.start([STREAM_ROUTE]);
-    const answered: string[] = [];
+    const lastEventIds: string[] = [];
     const answer = ({ socket, text }: RawRequest) => {
       const last = /last-event-id: (\d+)/i.exec(text)?.[1];
-      answered.push(last ?? "first");
+      lastEventIds.push(last ?? "first");
       if (last === undefined) {
-        // The second event is cut short, and so must not reach the caller.
+        // The second event is incomplete and must not reach the client.
         socket.write(streamBytes("id: 1\ndata: a\n\nid: 2\nda"));
         setTimeout(() => socket.resetAndDestroy(), 20);
         return;
@@ -192,10 +195,10 @@
     await untilServed();
     const stream = await gateway.call("/stock/1");
     assert.equal(stream.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert.deepEqual(answered.slice(-2), ["first", "1"]);
+    assert.deepEqual(lastEventIds.slice(-2), ["first", "1"]);
   });
 
-  it("should cut a stream that cannot go on, so that it does not look whole", async () => {
+  it("should abort a stream that cannot be resumed, so that it does not look complete", async () => {
     await gateway.start([routeWire({ RouteType: "streaming" })]);
     await gateway.addServer("i-1", ({ socket }) => {
       socket.write(streamBytes("id: 1\ndata: a\n\n"));
@@ -206,7 +209,7 @@
     );
   });
 
-  it("should ask the largest model where the smallest is not sure", async () => {
+  it("should escalate to the largest model when the smallest has low confidence", async () => {
     await gateway.start([
       routeWire({
         ...STREAM_ROUTE,
@@ -230,7 +233,7 @@
     assert.match((await ask()).body, /data: m2/);
   });
 
-  it("should stop a server's work when the caller leaves", async () => {
+  it("should close the server's connection when the client disconnects", async () => {
     await gateway.start([STREAM_ROUTE]);
     let closed = 0;
     await gateway.addServer("i-1", ({ socket }) => {
@@ -243,7 +246,7 @@
       socket.once("close", () => clearInterval(timer));
     });
     await until(async () => {
-      // The caller's own time-out ends its connection in the middle of the stream.
+      // The client's own timeout closes its connection in the middle of the stream.
       await gateway.call("/stock/1", { waitMs: 200 }).catch(() => undefined);
       return closed > 0;
     });
