--- a/prove/cuttable_fleet.ts
+++ b/prove/cuttable_fleet.ts
@@ -5,7 +5,10 @@
   Configuration,
 } from "../src/core/config/configuration.ts";
 import { parseAddress } from "../src/runtime/address.ts";
-import { CuttableProxy, EVERYONE } from "../tests/fixtures/cuttable_proxy.ts";
+import {
+  ALL_CALLERS,
+  CuttableProxy,
+} from "../tests/fixtures/cuttable_proxy.ts";
 import {
   type EntrySpec,
   getJson,
@@ -116,7 +119,7 @@
 
   /** Cuts an entry from the platform. */
   cutFromPlatform(id: string): void {
-    this.#links.get(id)?.platform.cut(EVERYONE);
+    this.#links.get(id)?.platform.cut(ALL_CALLERS);
   }
 
   /** Cuts all entries from the platform; operators reach it. */
@@ -128,7 +131,7 @@
   cutFromPeers(id: string): void {
     const { host = "" } = this.#links.get(id) ?? {};
     for (const [other, links] of this.#links) {
-      links.peers.cut(other === id ? EVERYONE : host);
+      links.peers.cut(other === id ? ALL_CALLERS : host);
     }
   }
 
--- a/soak/accepted_check_test.ts
+++ b/soak/accepted_check_test.ts
@@ -20,8 +20,8 @@
   const CUT: Ending = { tag: "cut", begun: true };
 
   function cutBesideChange(patch: Partial<CallerRecord> = {}): void {
-    soak.called({ kind: "stream", endMs: END_MS, ending: CUT, ...patch });
-    soak.ran({ broken: true });
+    soak.addRequest({ kind: "stream", endMs: END_MS, ending: CUT, ...patch });
+    soak.addRun({ broken: true });
     soak.history.configurations.push(
       { version: 1, takenMs: 0, keys: ["key"] },
       { version: 2, takenMs: SENT_MS + 100, keys: [] },
@@ -32,8 +32,11 @@
   function isAble(server: string, atMs = SENT_MS + 10): void {
     const attempt = `other-${server}`;
     const body = wholeBody(attempt);
-    soak.called({ attempt, ending: { tag: "answered", status: 200, body } });
-    soak.ran({ attempt, server, atMs });
+    soak.addRequest({
+      attempt,
+      ending: { tag: "answered", status: 200, body },
+    });
+    soak.addRun({ attempt, server, atMs });
   }
 
   function othersAreAble(atMs?: number): void {
@@ -58,8 +61,8 @@
   });
 
   it("should find a stream that is cut while the store is away", () => {
-    soak.called({ kind: "stream", endMs: END_MS, ending: CUT });
-    soak.ran({ broken: true });
+    soak.addRequest({ kind: "stream", endMs: END_MS, ending: CUT });
+    soak.addRun({ broken: true });
     othersAreAble();
     assert.deepEqual(soak.broken(), []);
     const fromMs = SENT_MS - BOUNDS.keyRemovalMs + 1;
@@ -75,14 +78,19 @@
   it("should not mind refusals of what has not run, or may not be repeated", () => {
     const ending: Ending = { tag: "answered", status: 401, body: "" };
     cutBesideChange({ kind: "once", ending });
-    soak.called({ attempt: "a-2", kind: "repeatable", endMs: END_MS, ending });
-    soak.called({
+    soak.addRequest({
+      attempt: "a-2",
+      kind: "repeatable",
+      endMs: END_MS,
+      ending,
+    });
+    soak.addRequest({
       attempt: "a-3",
       kind: "stream",
       endMs: END_MS,
       ending: { tag: "cut", begun: false },
     });
-    soak.ran({ attempt: "a-3", broken: true });
+    soak.addRun({ attempt: "a-3", broken: true });
     othersAreAble();
     assert.deepEqual(soak.broken(), []);
   });
@@ -91,7 +99,7 @@
     cutBesideChange();
     othersAreAble();
     for (let run = 1; run < ROUTE.maxRuns; run++) {
-      soak.ran({ server: `s-${run + 3}`, broken: true });
+      soak.addRun({ server: `s-${run + 3}`, broken: true });
     }
     assert.deepEqual(soak.broken(), []);
   });
--- a/soak/fault_injector.ts
+++ b/soak/fault_injector.ts
@@ -4,7 +4,7 @@
 import process from "node:process";
 import { pause } from "../src/runtime/pause.ts";
 import type { StoreFaults } from "../src/standins/object_store_standin.ts";
-import { EVERYONE } from "../tests/fixtures/cuttable_proxy.ts";
+import { ALL_CALLERS } from "../tests/fixtures/cuttable_proxy.ts";
 import type { Fault, PlannedFault } from "./fault_plan.ts";
 import type { History, ServerTrouble, Trouble, Victim } from "./history.ts";
 import type { RejectingService } from "./rejecting_service.ts";
@@ -144,7 +144,7 @@
   async #cut(at: number, forMs: number): Promise<void> {
     const { name, proxy } = this.#gateway(at);
     await this.#during("store_cut", name, async () => {
-      proxy.cut(EVERYONE);
+      proxy.cut(ALL_CALLERS);
       await pause(forMs);
       proxy.heal();
     });
--- a/soak/fault_plan.ts
+++ b/soak/fault_plan.ts
@@ -2,7 +2,7 @@
 
 import type { Draw } from "./draw.ts";
 import type { ServerMode } from "./soak_server.ts";
-import { SPAN_MS } from "../tests/fixtures/limit_count.ts";
+import { COUNT_WINDOW_MS } from "../tests/fixtures/limit_count.ts";
 import { BOUNDS, CONTACT_MS } from "./soak_settings.ts";
 
 /** One fault. Gateways and servers are told by their number. */
@@ -222,7 +222,7 @@
     { length: Math.ceil(servers / 2) },
     (_, server) => ({
       atMs: 0,
-      forMs: CONTACT_MS + 2 * SPAN_MS,
+      forMs: CONTACT_MS + 2 * COUNT_WINDOW_MS,
       fault: { tag: "server", server, mode: "limits" } as const,
     }),
   );
--- a/soak/limit_check.ts
+++ b/soak/limit_check.ts
@@ -3,9 +3,9 @@
 import type { History, LimitRecord } from "./history.ts";
 import type { GatewayName } from "./ids.ts";
 import {
-  allowedInSpan,
-  mostInSpan,
-  SPAN_MS,
+  allowedInWindow,
+  COUNT_WINDOW_MS,
+  maxInWindow,
 } from "../tests/fixtures/limit_count.ts";
 import {
   CONTACT_MS,
@@ -30,9 +30,9 @@
   const servers = new Set(history.limits.map(({ server }) => server));
   return [...servers].flatMap((server) => {
     const times = countedMs(history, server);
-    const most = mostInSpan(times);
-    if (most <= allowedInSpan(SERVER_LIMIT_PER_S)) return [];
-    const what = `${server} got ${most} in ${SPAN_MS} ms`;
+    const most = maxInWindow(times);
+    if (most <= allowedInWindow(SERVER_LIMIT_PER_S)) return [];
+    const what = `${server} got ${most} in ${COUNT_WINDOW_MS} ms`;
     return [{ promise: "limits of servers", what }];
   });
 }
--- a/soak/limit_check_test.ts
+++ b/soak/limit_check_test.ts
@@ -6,7 +6,10 @@
   SoakHistory,
 } from "../tests/fixtures/soak_history.ts";
 import type { GatewayName } from "./ids.ts";
-import { allowedInSpan, SPAN_MS } from "../tests/fixtures/limit_count.ts";
+import {
+  allowedInWindow,
+  COUNT_WINDOW_MS,
+} from "../tests/fixtures/limit_count.ts";
 import { CONTACT_MS, SERVER_LIMIT_PER_S } from "./soak_settings.ts";
 
 const PROMISE = "limits of servers";
@@ -33,18 +36,18 @@
     const attempt = `${gateway}/${fromMs}/${n}`;
     const atMs = fromMs + n * forMs / count;
     const kind = "stream" as const;
-    soak.called({ attempt, gateway, sentMs: atMs, endMs: atMs + 50, kind });
-    soak.ran({ attempt, atMs });
+    soak.addRequest({ attempt, gateway, sentMs: atMs, endMs: atMs + 50, kind });
+    soak.addRun({ attempt, atMs });
     soak.history.limits.push({ server: "s-1", attempt, atMs });
   }
 }
 
 /** Half of what may come in a span. */
-const HALF = allowedInSpan(SERVER_LIMIT_PER_S) / 2;
+const HALF = allowedInWindow(SERVER_LIMIT_PER_S) / 2;
 
 describe("check of limits that servers name", () => {
   it("should count what all gateways send that have heard of it", () => {
-    const span = { fromMs: COUNTED_MS, forMs: SPAN_MS - 100 };
+    const span = { fromMs: COUNTED_MS, forMs: COUNT_WINDOW_MS - 100 };
     for (const gateway of [GATEWAY, OTHER]) {
       arrive(1, { gateway, fromMs: SENT_MS, forMs: 1 });
       arrive(Math.floor(HALF), { ...span, gateway });
--- a/soak/notice_check_test.ts
+++ b/soak/notice_check_test.ts
@@ -16,16 +16,16 @@
 
 describe("check of what servers say of themselves", () => {
   it("should find requests within a rest, but for what was on its way", () => {
-    soak.called();
+    soak.addRequest();
     const rest = { server: "s-1", attempt: ATTEMPT, restMs: 1_500 };
     soak.history.rests.push({ ...rest, atMs: SENT_MS });
     for (const [attempt, atMs] of [["a-2", 400], ["a-3", 1_600]] as const) {
-      soak.called({ attempt });
-      soak.ran({ attempt, atMs: SENT_MS + atMs });
+      soak.addRequest({ attempt });
+      soak.addRun({ attempt, atMs: SENT_MS + atMs });
     }
     assert.equal(soak.broken().includes("rests of servers"), false);
-    soak.called({ attempt: "a-4" });
-    soak.ran({ attempt: "a-4", atMs: SENT_MS + 900 });
+    soak.addRequest({ attempt: "a-4" });
+    soak.addRun({ attempt: "a-4", atMs: SENT_MS + 900 });
     assert.ok(soak.broken().includes("rests of servers"));
     soak.history.troubles.push({
       name: "freeze",
@@ -37,8 +37,8 @@
   });
 
   it("should count what is turned away again as sent within a rest", () => {
-    soak.called();
-    soak.called({
+    soak.addRequest();
+    soak.addRequest({
       attempt: "a-2",
       ending: { tag: "answered", status: 200, body: wholeBody("a-2") },
     });
@@ -49,12 +49,12 @@
   });
 
   it("should find requests that come after a server's word that it leaves", () => {
-    soak.called();
+    soak.addRequest();
     const word = { server: "s-1", attempt: ATTEMPT, restMs: 0 };
     soak.history.leavingWords.push({ ...word, atMs: SENT_MS });
     const lateMs = SENT_MS + BOUNDS.drainMs + 100;
-    soak.called({ attempt: "a-2", sentMs: lateMs, kind: "repeatable" });
-    soak.ran({ attempt: "a-2", atMs: lateMs + 10 });
+    soak.addRequest({ attempt: "a-2", sentMs: lateMs, kind: "repeatable" });
+    soak.addRun({ attempt: "a-2", atMs: lateMs + 10 });
     assert.ok(soak.broken().includes("leaving words of servers"));
   });
 });
--- a/soak/poison_check_test.ts
+++ b/soak/poison_check_test.ts
@@ -19,9 +19,9 @@
       const atMs = SENT_MS - sinceMs + n;
       soak.history.poisonedServers.push({ server: `s-${n}`, atMs });
     }
-    soak.called();
+    soak.addRequest();
     soak.history.poisonCallers.push(...soak.history.callers.splice(0));
-    soak.ran({ poison: true, broken: true, server: "s-4" });
+    soak.addRun({ poison: true, broken: true, server: "s-4" });
   }
 
   it("should find that it was sent after all had time to know", () => {
@@ -41,7 +41,7 @@
 
   it("should find another request that was taken for it", () => {
     const body = '{"code":"crashes_servers"}';
-    soak.called({ ending: { tag: "answered", status: 503, body } });
+    soak.addRequest({ ending: { tag: "answered", status: 503, body } });
     assert.deepEqual(soak.broken(), ["innocent requests"]);
   });
 });
--- a/soak/promise_checker_test.ts
+++ b/soak/promise_checker_test.ts
@@ -16,16 +16,16 @@
 
 describe("promise checker", () => {
   it("should find nothing wrong with an answered request", () => {
-    soak.called();
-    soak.ran();
+    soak.addRequest();
+    soak.addRun();
     assert.deepEqual(soak.broken(), []);
   });
 
   it("should find a request that ran at an evacuated server", () => {
     const saidMs = SENT_MS - BOUNDS.evacuationMs - 1;
     soak.history.evacuations.push({ saidMs, takenBackMs: SENT_MS + 5_000 });
-    soak.called();
-    soak.ran();
+    soak.addRequest();
+    soak.addRun();
     assert.deepEqual(soak.broken(), ["evacuated servers"]);
   });
 
@@ -38,8 +38,8 @@
       saidMs: SENT_MS - 60_000,
       takenBackMs: SENT_MS - 30_000,
     });
-    soak.called();
-    soak.ran();
+    soak.addRequest();
+    soak.addRun();
     assert.deepEqual(soak.broken(), []);
   });
 
@@ -47,33 +47,33 @@
     const { requestsPerSecond, overshoot, allowance } = WARMUP;
     const most = requestsPerSecond * overshoot + allowance;
     soak.history.evacuations.push({ saidMs: 0, takenBackMs: SENT_MS });
-    for (let n = 0; n < most; n++) soak.ran({ attempt: `a-${n}` });
+    for (let n = 0; n < most; n++) soak.addRun({ attempt: `a-${n}` });
     assert.deepEqual(soak.broken(), []);
-    soak.ran({ attempt: "one more" });
+    soak.addRun({ attempt: "one more" });
     assert.deepEqual(soak.broken(), ["cold servers"]);
   });
 
   it("should find a request that ran twice", () => {
-    soak.called();
-    soak.ran();
-    soak.ran({ server: "s-2" });
+    soak.addRequest();
+    soak.addRun();
+    soak.addRun({ server: "s-2" });
     assert.deepEqual(soak.broken(), ["at most once"]);
   });
 
   it("should find a refused request that ran", () => {
-    soak.called({ ending: { tag: "answered", status: 503, body: "" } });
-    soak.ran();
+    soak.addRequest({ ending: { tag: "answered", status: 503, body: "" } });
+    soak.addRun();
     assert.deepEqual(soak.broken(), ["refusals are true"]);
   });
 
   it("should find answers that are cut, or of another request", () => {
     const body = wholeBody(ATTEMPT).slice(0, -1);
-    soak.called({ ending: { tag: "answered", status: 200, body } });
-    soak.ran();
+    soak.addRequest({ ending: { tag: "answered", status: 200, body } });
+    soak.addRun();
     assert.deepEqual(soak.broken(), ["whole answers"]);
     soak = new SoakHistory();
     const other = streamBody("a-2", 0);
-    soak.called({
+    soak.addRequest({
       kind: "stream",
       ending: { tag: "answered", status: 200, body: other },
     });
@@ -86,8 +86,8 @@
       { version: 1, takenMs: 0, keys: ["key"] },
       { version: 2, takenMs, keys: [] },
     );
-    soak.called();
-    soak.ran({ keyShown: true });
+    soak.addRequest();
+    soak.addRun({ keyShown: true });
     assert.deepEqual(soak.broken(), ["keys stay here", "removed keys"]);
   });
 
@@ -96,16 +96,16 @@
       { version: 1, takenMs: 0, keys: ["key"] },
       { version: 2, takenMs: SENT_MS - 1_000, keys: [] },
     );
-    soak.called();
-    soak.ran();
+    soak.addRequest();
+    soak.addRun();
     assert.deepEqual(soak.broken(), []);
   });
 
   it("should find work for a server that left, unless the gateway had trouble", () => {
     const saidMs = SENT_MS - BOUNDS.drainMs - 1;
     soak.history.leavings.push({ server: "s-1", saidMs });
-    soak.called();
-    soak.ran();
+    soak.addRequest();
+    soak.addRun();
     assert.deepEqual(soak.broken(), ["leaving servers"]);
     soak.history.troubles.push({
       name: "pause",
@@ -118,8 +118,8 @@
 
   it("should find a request that a planned stop cut", () => {
     soak.history.plannedStops.push({ gateway: GATEWAY, atMs: SENT_MS - 100 });
-    soak.called({ ending: { tag: "cut", begun: true } });
-    soak.ran();
+    soak.addRequest({ ending: { tag: "cut", begun: true } });
+    soak.addRun();
     assert.deepEqual(soak.broken(), ["planned stops"]);
   });
 
--- a/soak/retry_check_test.ts
+++ b/soak/retry_check_test.ts
@@ -12,7 +12,7 @@
 beforeEach(() => {
   soak = new SoakHistory();
   for (let n = 0; n < REQUESTS; n++) {
-    soak.called({ attempt: `a-${n}`, sentMs: SENT_MS + n });
+    soak.addRequest({ attempt: `a-${n}`, sentMs: SENT_MS + n });
     arrive(n, SENT_MS + n);
   }
 });
--- a/src/core/limits/retry_arrival_test.ts
+++ b/src/core/limits/retry_arrival_test.ts
@@ -10,7 +10,7 @@
 import {
   assertWithinBound,
   forEachFleet,
-  playRetries,
+  runRetryScenario,
 } from "../../../tests/fixtures/retry_play.ts";
 
 /** Durations for which servers are stopped. */
@@ -25,7 +25,12 @@
         forEachFleet(({ vms, perS, label }) => {
           const fleet = new RetryFleet(vms);
           const step = stopServers(stopMs, count);
-          playRetries(fleet, { vms, perS, seconds: 32 + stopMs / 1_000, step });
+          runRetryScenario(fleet, {
+            vms,
+            perS,
+            seconds: 32 + stopMs / 1_000,
+            step,
+          });
           assertWithinBound(fleet, `${count} for ${stopMs} ms, ${label}`);
         });
       }
@@ -42,7 +47,7 @@
         // Until then the running servers answer all requests.
         fleet.isFailing = nowMs >= STOP_AT_MS + stopMs;
       };
-      playRetries(fleet, { vms, perS, seconds: 60, step });
+      runRetryScenario(fleet, { vms, perS, seconds: 60, step });
       assertWithinBound(fleet, label);
     });
   });
@@ -75,7 +80,7 @@
           );
           return at * (move?.count ?? RANDOM_VMS);
         };
-        playRetries(fleet, {
+        runRetryScenario(fleet, {
           vms: RANDOM_VMS,
           perS: RANDOM_PER_S,
           seconds: RANDOM_DURATION_S,
@@ -97,7 +102,7 @@
       nowMs > STOP_AT_MS + 1_000 ? fraction * perS : perS;
     const step = stopServers(stopMs, SERVERS);
     const seconds = 32 + stopMs / 1_000;
-    playRetries(fleet, { vms, perS: rate, seconds, step });
+    runRetryScenario(fleet, { vms, perS: rate, seconds, step });
     assertWithinBound(
       fleet,
       `${fraction} of the requests, ${stopMs} ms, ${label}`,
--- a/src/core/limits/retry_budget_fleet_test.ts
+++ b/src/core/limits/retry_budget_fleet_test.ts
@@ -18,11 +18,14 @@
 
 import { describe, it } from "node:test";
 import fc from "fast-check";
-import { type Hears, RetryFleet } from "../../../tests/fixtures/retry_fleet.ts";
+import {
+  type IsReachable,
+  RetryFleet,
+} from "../../../tests/fixtures/retry_fleet.ts";
 import {
   assertWithinBound,
   forEachFleet,
-  playRetries,
+  runRetryScenario,
 } from "../../../tests/fixtures/retry_play.ts";
 
 /** Time between restarts. */
@@ -50,13 +53,13 @@
         startedMs = nowMs;
         for (let vm = 0; vm < vms; vm++) fleet.restart(vm);
       };
-      playRetries(fleet, { vms, perS, seconds: 45, step });
+      runRetryScenario(fleet, { vms, perS, seconds: 45, step });
       assertWithinBound(fleet, label);
     });
   });
 
   it("should keep retries within the bound where VMs do not reach each other", () => {
-    const partitions: Record<string, Hears> = {
+    const partitions: Record<string, IsReachable> = {
       "no VM reaches another": () => false,
       "two partitions from the start": (vm, other) => vm % 2 === other % 2,
       "no VM reaches another from 15 s on": (_vm, _other, nowMs) =>
@@ -66,7 +69,7 @@
       forEachFleet(({ vms, perS, label }) => {
         const fleet = new RetryFleet(vms, { hears });
         fleet.isFailing = true;
-        playRetries(fleet, { vms, perS, seconds: 35, step: () => {} });
+        runRetryScenario(fleet, { vms, perS, seconds: 35, step: () => {} });
         assertWithinBound(fleet, `${partition}, ${label}`);
       });
     }
@@ -88,7 +91,7 @@
         fleet.isFailing = isAway(nowMs + 1_000) !== isAway(nowMs) ||
           isAway(nowMs - PULSE_MS + 1_000) !== isAway(nowMs);
       };
-      playRetries(fleet, { vms, perS, seconds: 85, step, target });
+      runRetryScenario(fleet, { vms, perS, seconds: 85, step, target });
       assertWithinBound(fleet, label);
     });
   });
@@ -105,7 +108,7 @@
         // By then, requests sent to the suspended VMs are as old as a window.
         fleet.isFailing = nowMs >= RESUME_AT_MS + AWAY_MS;
       };
-      playRetries(fleet, { vms, perS, seconds: 45, step });
+      runRetryScenario(fleet, { vms, perS, seconds: 45, step });
       assertWithinBound(fleet, label);
     });
   });
--- a/src/core/limits/retry_late_request_test.ts
+++ b/src/core/limits/retry_late_request_test.ts
@@ -8,7 +8,7 @@
 import {
   assertWithinBound,
   forEachFleet,
-  playRetries,
+  runRetryScenario,
 } from "../../../tests/fixtures/retry_play.ts";
 
 /** Durations for which links delay requests of callers. */
@@ -29,7 +29,7 @@
               fleet.holdLink(vm, nowMs === START_MS);
             }
           };
-          playRetries(fleet, { vms, perS, seconds: 45, step });
+          runRetryScenario(fleet, { vms, perS, seconds: 45, step });
           assertWithinBound(fleet, `${fraction} for ${delayMs} ms, ${label}`);
         });
       }
--- a/src/core/routing/limit_admission_test.ts
+++ b/src/core/routing/limit_admission_test.ts
@@ -7,8 +7,8 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import {
-  allowedInSpan,
-  mostInSpan,
+  allowedInWindow,
+  maxInWindow,
 } from "../../../tests/fixtures/limit_count.ts";
 import { seededChance } from "../../../tests/fixtures/seeded_chance.ts";
 import { serverRecord } from "../../../tests/fixtures/server_record.ts";
@@ -173,8 +173,8 @@
         nowMs = SETTLED_MS;
         const chance = seededChance(count);
         const sentMs = applyLoad(vms, { limitPerS, chance, forMs: 30_000 });
-        const most = mostInSpan(sentMs);
-        assert.ok(most <= allowedInSpan(limitPerS), `${limitPerS}: ${most}`);
+        const most = maxInWindow(sentMs);
+        assert.ok(most <= allowedInWindow(limitPerS), `${limitPerS}: ${most}`);
         // Each owner gets its first permit after a full interval.
         const limit = limitPerS * 30;
         assert.ok(
@@ -194,8 +194,8 @@
             vm.known = vm.known.filter(() => chance() > 0.1);
           }
           nowMs = SETTLED_MS;
-          const most = mostInSpan(applyLoad(vms, { limitPerS, chance }));
-          const allowed = allowedInSpan(limitPerS);
+          const most = maxInWindow(applyLoad(vms, { limitPerS, chance }));
+          const allowed = allowedInWindow(limitPerS);
           assert.ok(most <= allowed, `${limitPerS}, seed ${seed}: ${most}`);
         }
       }
@@ -221,8 +221,8 @@
             onStep: () => server.readPending(),
             onSent: (vm) => server.receive(vm),
           });
-          const most = mostInSpan(server.arrivedMs);
-          const allowed = allowedInSpan(limitPerS);
+          const most = maxInWindow(server.arrivedMs);
+          const allowed = allowedInWindow(limitPerS);
           const label = `${count} VMs, ${limitPerS} a second, ${stopMs} ms`;
           assert.ok(most <= allowed, `${label}: ${most} of ${allowed}`);
         }
@@ -246,8 +246,8 @@
           borrower.borrow(byId);
         },
       });
-      const most = mostInSpan(sentMs);
-      assert.ok(most <= allowedInSpan(2), `${count}: ${most}`);
+      const most = maxInWindow(sentMs);
+      assert.ok(most <= allowedInWindow(2), `${count}: ${most}`);
       assert.ok(sentMs.length >= 50, `${count}: ${sentMs.length} of 60 used`);
     }
   });
@@ -268,8 +268,8 @@
         forMs: 20_000,
         onStep,
       });
-      const most = mostInSpan(sentMs);
-      assert.ok(most <= allowedInSpan(2), `${count}: ${most}`);
+      const most = maxInWindow(sentMs);
+      assert.ok(most <= allowedInWindow(2), `${count}: ${most}`);
     }
   });
 
@@ -369,8 +369,8 @@
         nowMs = SETTLED_MS;
         const onStep = replacePeriodically(vms, { limitPerS, chance });
         const sentMs = applyLoad(vms, { limitPerS, chance, onStep });
-        const most = mostInSpan(sentMs);
-        const allowed = allowedInSpan(limitPerS);
+        const most = maxInWindow(sentMs);
+        const allowed = allowedInWindow(limitPerS);
         assert.ok(most <= allowed, `${limitPerS}: ${most}`);
       }
     });
--- a/src/core/routing/permit_borrowing_test.ts
+++ b/src/core/routing/permit_borrowing_test.ts
@@ -8,8 +8,8 @@
 import { describe, it } from "node:test";
 import fc from "fast-check";
 import {
-  allowedInSpan,
-  mostInSpan,
+  allowedInWindow,
+  maxInWindow,
 } from "../../../tests/fixtures/limit_count.ts";
 import { seededChance } from "../../../tests/fixtures/seeded_chance.ts";
 import { serverRecord } from "../../../tests/fixtures/server_record.ts";
@@ -161,9 +161,9 @@
       fc.property(SCENARIOS, (scenario) => {
         const fleet = new Fleet(scenario);
         fleet.applyLoad();
-        const most = mostInSpan(fleet.sentMs);
+        const most = maxInWindow(fleet.sentMs);
         assert.ok(
-          most <= allowedInSpan(scenario.limitPerS),
+          most <= allowedInWindow(scenario.limitPerS),
           `${most} in one span`,
         );
       }),
--- a/tests/accepted_requests_test.ts
+++ b/tests/accepted_requests_test.ts
@@ -15,7 +15,7 @@
 import {
   answerBytes,
   chunkBytes,
-  notRunBytes,
+  notProcessedBytes,
   routeWire,
   STREAM_ROUTE,
   streamBytes,
@@ -167,7 +167,7 @@
       const resumed = /last-event-id: 1/i.test(req.text);
       if (!resumed || turnedAway === 5) return beginStream(req);
       turnedAway += 1;
-      req.socket.write(notRunBytes());
+      req.socket.write(notProcessedBytes());
     };
     await gateway.addServer("i-1", answer);
     await gateway.addServer("i-2", answer);
@@ -185,7 +185,7 @@
     const answer = (req: RawRequest) => {
       if (req.text.includes("/warm")) req.socket.write(answerBytes());
       else if (held.length === 0) held.push(req);
-      else if (turnedAway++ < 5) req.socket.write(notRunBytes());
+      else if (turnedAway++ < 5) req.socket.write(notProcessedBytes());
       else req.socket.write(answerBytes());
     };
     await gateway.addServer("i-1", answer);
--- a/tests/accepted_revision_test.ts
+++ b/tests/accepted_revision_test.ts
@@ -20,7 +20,7 @@
 async function startFleet(count: number, seed = 1): Promise<SimulatedFleet> {
   fleet = new SimulatedFleet({ count, seed });
   await fleet.start();
-  assert.ok(fleet.isWhole);
+  assert.ok(fleet.isConverged);
   return fleet;
 }
 
@@ -80,7 +80,7 @@
       network.watchesStuck = true;
       return;
     case "writes lost":
-      network.lostWrites = share;
+      network.lostWriteShare = share;
       return;
     case "restart":
       return fleet.startEntry(Math.floor(share * (ids.length - 1)));
@@ -100,14 +100,14 @@
   const playing = await startFleet(count, seed);
   for (const step of schedule) {
     play(playing, step);
-    await playing.pass(step.thenMs);
+    await playing.advance(step.thenMs);
   }
   playing.network.heal();
-  await playing.pass(12_000);
+  await playing.advance(12_000);
   const before = playing.accepted;
   void playing.apply();
-  await playing.pass(12_000);
-  const { breaches, accepted, isWhole } = playing;
+  await playing.advance(12_000);
+  const { violations: breaches, accepted, isConverged: isWhole } = playing;
   await playing.stop();
   fleet = undefined;
   assert.deepEqual(breaches, []);
@@ -122,11 +122,11 @@
         const playing = await startFleet(count);
         playing.network.cutFromPlatform(playing.ids);
         void playing.apply();
-        await playing.pass(400);
+        await playing.advance(400);
         playing.network.heal();
         playing.network.platformDown = true;
-        await playing.pass(outageMs);
-        assert.deepEqual(playing.breaches, []);
+        await playing.advance(outageMs);
+        assert.deepEqual(playing.violations, []);
       });
     }
 
@@ -134,19 +134,19 @@
       const playing = await startFleet(count);
       playing.network.cutFromPlatform(playing.ids);
       void playing.apply();
-      await playing.pass(14_000);
-      assert.deepEqual(playing.breaches, []);
+      await playing.advance(14_000);
+      assert.deepEqual(playing.violations, []);
       playing.network.heal();
-      await playing.pass(5_000);
+      await playing.advance(5_000);
       assert.equal(playing.accepted, 2);
-      assert.ok(playing.isWhole);
+      assert.ok(playing.isConverged);
     });
 
     it(`should cost callers of ${count} entries nothing while the platform is away`, async () => {
       const playing = await startFleet(count);
       playing.takeServingShare();
       playing.network.platformDown = true;
-      await playing.pass(30_000);
+      await playing.advance(30_000);
       assert.equal(playing.takeServingShare(), 1);
     });
 
@@ -156,7 +156,7 @@
       const playing = await startFleet(count);
       playing.takeServingShare();
       playing.network.cutFromPlatform(playing.ids);
-      await playing.pass(30_000);
+      await playing.advance(30_000);
       assert.equal(playing.takeServingShare(), 1);
     });
   }
@@ -167,29 +167,29 @@
     playing.network.cutFromPlatform(late);
     playing.network.cutFromPeers(late);
     void playing.apply();
-    await playing.pass(2_000);
+    await playing.advance(2_000);
     assert.equal(playing.accepted, 2);
     playing.network.platformDown = true;
     for (const at of [0, 1, 2]) playing.startEntry(at);
-    await playing.pass(100);
+    await playing.advance(100);
     playing.network.cutFromPeers([]);
-    await playing.pass(14_000);
-    assert.deepEqual(playing.breaches, []);
+    await playing.advance(14_000);
+    assert.deepEqual(playing.violations, []);
     playing.network.heal();
-    await playing.pass(5_000);
-    assert.ok(playing.isWhole);
+    await playing.advance(5_000);
+    assert.ok(playing.isConverged);
   });
 
   it("should be accepted after all entries but one have left as planned", async () => {
     const playing = await startFleet(5);
     for (const at of [1, 2, 3, 4]) void playing.leave(at);
-    await playing.pass(5_000);
+    await playing.advance(5_000);
     void playing.apply();
-    await playing.pass(2_000);
+    await playing.advance(2_000);
     assert.equal(playing.accepted, 2);
     playing.network.platformDown = true;
     playing.takeServingShare();
-    await playing.pass(14_000);
+    await playing.advance(14_000);
     assert.equal(playing.takeServingShare(), 1);
   });
 
@@ -199,15 +199,15 @@
         const playing = fleet = new SimulatedFleet({ count: 1, seed });
         playing.replaceClocks();
         void playing.apply();
-        await playing.pass(1_000);
+        await playing.advance(1_000);
         playing.network.watchesStuck = true;
         void playing.apply();
-        await playing.pass(startMs, 1);
+        await playing.advance(startMs, 1);
         playing.startEntry(0);
-        await playing.pass(300, 1);
+        await playing.advance(300, 1);
         playing.network.cutFromPlatform(playing.ids);
-        await playing.pass(14_000);
-        const { breaches } = playing;
+        await playing.advance(14_000);
+        const { violations: breaches } = playing;
         await playing.stop();
         assert.deepEqual(breaches, [], `${startMs} ms, seed ${seed}`);
       }
--- a/tests/broken_run_test.ts
+++ b/tests/broken_run_test.ts
@@ -6,7 +6,7 @@
 
 import assert from "node:assert/strict";
 import { afterEach, beforeEach, describe, it } from "node:test";
-import { restBytes } from "./fixtures/resting_server.ts";
+import { retryAfterBytes } from "./fixtures/resting_server.ts";
 import {
   answerBytes,
   routeWire,
@@ -54,7 +54,7 @@
     let mode: "sound" | "breaks" | "rests" = "sound";
     let endRun = () => {};
     const server = await gateway.addServer("i-1", ({ socket }) => {
-      if (mode === "rests") return socket.write(restBytes(0.5));
+      if (mode === "rests") return socket.write(retryAfterBytes(0.5));
       if (mode === "sound") return socket.write(answerBytes());
       mode = "rests";
       endRun = () => socket.destroy();
@@ -77,7 +77,7 @@
     let mode: "sound" | "breaks" | "rests" = "sound";
     let broken: (() => void)[] = [];
     const server = await gateway.addServer("i-1", ({ socket }) => {
-      if (mode === "rests") return socket.write(restBytes(REST_S));
+      if (mode === "rests") return socket.write(retryAfterBytes(REST_S));
       if (mode === "sound") return socket.write(answerBytes());
       broken.push(() => socket.destroy());
     });
--- a/tests/entry_ran_test.ts
+++ b/tests/entry_ran_test.ts
@@ -14,10 +14,10 @@
 import { describe, test } from "node:test";
 import type { BackendError } from "../src/backends/backend_error.ts";
 import { executionStatusOf, httpStatusOf } from "../src/core/request_error.ts";
-import { CASCADE, type Play, TestChat } from "./fixtures/test_chat.ts";
+import { CASCADE, type ServerScript, TestChat } from "./fixtures/test_chat.ts";
 
 const REFUSED: BackendError = { tag: "refused", reason: "ECONNREFUSED" };
-const CUT: Play = () => [[{
+const CUT: ServerScript = () => [[{
   tag: "cut",
   error: { tag: "failed", reason: "ECONNRESET" },
 }]];
@@ -26,7 +26,7 @@
   test("should be told as one that may have run where no other server is there", async () => {
     const chat = new TestChat({ "small-1": CUT });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -41,7 +41,7 @@
       "small-2": CUT,
     });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -50,7 +50,7 @@
   test("should be told as one that may have run where the next server refuses it", async () => {
     const chat = new TestChat({ "small-1": CUT, "small-2": () => REFUSED });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -65,7 +65,7 @@
       },
     });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(err.tag, "cancelled");
@@ -81,8 +81,8 @@
   });
 });
 
-const FAILED: Play = () => ({ tag: "failed", reason: "ECONNRESET" });
-const SECOND_STEPS: [string, Record<string, Play>, number][] = [
+const FAILED: ServerScript = () => ({ tag: "failed", reason: "ECONNRESET" });
+const SECOND_STEPS: [string, Record<string, ServerScript>, number][] = [
   ["has no server", {}, 502],
   ["is refused", { "large-1": () => REFUSED }, 502],
   ["is given up unsent", {
@@ -96,7 +96,10 @@
       test(`should be told as one that may have run where the second ${what}`, async () => {
         const chat = new TestChat({ "small-1": FAILED, ...second });
         const err = await chat[form](CASCADE);
-        assert.deepEqual(chat.tries, ["small-1", ...Object.keys(second)]);
+        assert.deepEqual(chat.attemptedServers, [
+          "small-1",
+          ...Object.keys(second),
+        ]);
         assert.ok(err);
         assert.equal(executionStatusOf(err), "maybe");
         assert.equal(httpStatusOf(err), status);
--- a/tests/entry_rest_test.ts
+++ b/tests/entry_rest_test.ts
@@ -34,14 +34,14 @@
     const chat = new TestChat({ "small-1": () => FULL, "small-2": GOOD });
     assert.equal(await chat.answer("small"), undefined);
     assert.equal(await chat.answer("small"), undefined);
-    assert.deepEqual(chat.tries, ["small-1", "small-2", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2", "small-2"]);
   });
 
   it("should get none where no other is left, and callers be told when", async () => {
     const chat = new TestChat({ "small-1": () => FULL });
     await chat.answer("small");
     const err = await chat.answer("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.equal(err?.tag === "no_server" && err.retryAfterMs, REST_MS);
   });
 
--- a/tests/gateway_fleet_test.ts
+++ b/tests/gateway_fleet_test.ts
@@ -64,7 +64,7 @@
   for (const how of ["silence", "resets"] as const) {
     it(`should choose readers anew when ${how} keep both from the store`, async () => {
       await untilRelayed();
-      for (const vm of relayNames()) fleet.cutOff(vm, how);
+      for (const vm of relayNames()) fleet.disconnectStore(vm, how);
       await untilInForce(`/beyond-${how}/`, VMS);
     });
   }
@@ -86,8 +86,8 @@
     await untilRelayed();
     const relays = relayNames();
     const leaving = relays.includes("edge-3") ? "edge-4" : "edge-3";
-    await until(async () => await fleet.naming(leaving) === VMS - 1);
+    await until(async () => await fleet.countAdvertising(leaving) === VMS - 1);
     fleet.leave(leaving);
-    await until(async () => await fleet.naming(leaving) === 0);
+    await until(async () => await fleet.countAdvertising(leaving) === 0);
   });
 });
--- a/tests/gateway_test.ts
+++ b/tests/gateway_test.ts
@@ -5,7 +5,7 @@
   answerBytes,
   chunkBytes,
   HOST,
-  notRunBytes,
+  notProcessedBytes,
   routeWire,
   STREAM_ROUTE,
   streamBytes,
@@ -130,7 +130,7 @@
     await gateway.start([ONCE]);
     const full = await gateway.addServer(
       "i-1",
-      ({ socket }) => socket.write(notRunBytes()),
+      ({ socket }) => socket.write(notProcessedBytes()),
     );
     await gateway.addServer("i-2", answerWhole);
     // The second server is learnt a moment later; from then on no call may fail.
--- a/tests/late_retry_test.ts
+++ b/tests/late_retry_test.ts
@@ -39,7 +39,7 @@
 async function play(stayStill: () => Promise<void>): Promise<void> {
   const forMs = BEFORE_MS + STILL_MS + AFTER_MS;
   await Promise.all([
-    fleet.press({ perS: REQUESTS_PER_S, forMs }),
+    fleet.sendAtRate({ perS: REQUESTS_PER_S, forMs }),
     pause(BEFORE_MS).then(stayStill),
   ]);
 }
--- a/tests/limited_server_test.ts
+++ b/tests/limited_server_test.ts
@@ -12,7 +12,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { GatewayFleet } from "./fixtures/gateway_fleet.ts";
-import { allowedInSpan, mostInSpan } from "./fixtures/limit_count.ts";
+import { allowedInWindow, maxInWindow } from "./fixtures/limit_count.ts";
 import { LimitedServer } from "./fixtures/limited_server.ts";
 import { until } from "./fixtures/test_fleet.ts";
 import { routeWire, serverWire } from "./fixtures/test_gateway.ts";
@@ -75,8 +75,8 @@
 /** Checks what a server got while it was watched: no more than it named, and about that much. */
 function assertLimitUsed(server: LimitedServer, fromMs: number): void {
   const arrived = server.arrivedSince(fromMs);
-  const most = mostInSpan(arrived);
-  assert.ok(most <= allowedInSpan(LIMIT_PER_S), `${most} in one span`);
+  const most = maxInWindow(arrived);
+  assert.ok(most <= allowedInWindow(LIMIT_PER_S), `${most} in one span`);
   const used = arrived.length * 1_000 / WATCHED_MS;
   assert.ok(used >= USED_SHARE * LIMIT_PER_S, `${used} a second used`);
 }
@@ -110,8 +110,8 @@
     await callFor(CONTACT_MS);
     const lessMs = performance.now();
     await callFor(WATCHED_MS / 2);
-    const most = mostInSpan(limited.arrivedSince(lessMs));
-    assert.ok(most <= allowedInSpan(LIMIT_PER_S / 4), `${most} in one span`);
+    const most = maxInWindow(limited.arrivedSince(lessMs));
+    assert.ok(most <= allowedInWindow(LIMIT_PER_S / 4), `${most} in one span`);
     limited.limitPerS = undefined;
     await until(async () => {
       const sinceMs = performance.now();
--- a/tests/poison_request_test.ts
+++ b/tests/poison_request_test.ts
@@ -60,7 +60,7 @@
 /** VMs that have heard no other yet have no part of the allowance of retries. */
 async function untilHeard(): Promise<void> {
   for (const vm of fleet.vms) {
-    await until(async () => await fleet.naming(vm) === VMS - 1);
+    await until(async () => await fleet.countAdvertising(vm) === VMS - 1);
   }
 }
 
@@ -90,7 +90,7 @@
 
 /** Sends the request at all VMs in turn until it has ended so many servers. */
 async function untilEnded(count: number): Promise<void> {
-  for (let n = 0; servers.ended.length < count; n++) {
+  for (let n = 0; servers.crashedServers.length < count; n++) {
     await fleet.call(fleet.vms[n % VMS] ?? "", PATH);
   }
 }
@@ -99,9 +99,9 @@
   it("should be sent to no server by any VM once it has ended three", async () => {
     await untilEnded(ALLOWED);
     await pause(CONTACT_MS);
-    const ended = servers.ended.length;
+    const ended = servers.crashedServers.length;
     for (const vm of [...fleet.vms, ...fleet.vms]) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, ended);
+    assert.equal(servers.crashedServers.length, ended);
   });
 
   it("should be sent to no server after all VMs have ended and started again", async () => {
@@ -109,21 +109,21 @@
     await until(() =>
       Promise.resolve(fleet.store.kinds.list("fieldrack-crashes").length > 0)
     );
-    const ended = servers.ended.length;
+    const ended = servers.crashedServers.length;
     await fleet.restart();
     await untilServed();
     await pause(CONTACT_MS);
     for (const vm of fleet.vms) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, ended);
+    assert.equal(servers.crashedServers.length, ended);
   });
 
   it("should be counted for each life of servers that come back under their ids", async () => {
     await replaceServers(ALLOWED - 1, { keepIds: true });
     await untilEnded(ALLOWED);
     await pause(CONTACT_MS);
-    const ended = servers.ended.length;
+    const ended = servers.crashedServers.length;
     for (const vm of fleet.vms) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, ended);
+    assert.equal(servers.crashedServers.length, ended);
   });
 
   it("should not be taken for one that many callers make as servers fail together", async () => {
@@ -167,18 +167,18 @@
       const call = (vm: string, caller: string) =>
         fleet.call(vm, path, { [CALLER_HEADER]: caller });
       const crashing = call(first, "crashing");
-      servers.crashUnder(await servers.runningOf(path, "crashing"));
-      const culprit = await servers.runningOf(path, "crashing");
+      servers.crashServerOf(await servers.waitForRun(path, "crashing"));
+      const culprit = await servers.waitForRun(path, "crashing");
       const going = call(second, "going");
-      const beside = await servers.runningOf(path, "going");
+      const beside = await servers.waitForRun(path, "going");
       if (beside.server === culprit.server) {
         assert.equal((await crashing).body, LONG_BODY);
         assert.equal((await going).body, LONG_BODY);
         continue;
       }
-      servers.crashUnder(culprit);
-      const third = await servers.runningOf(path, "crashing");
-      servers.crashUnder(third);
+      servers.crashServerOf(culprit);
+      const third = await servers.waitForRun(path, "crashing");
+      servers.crashServerOf(third);
       await crashing;
       if (third.server === beside.server) {
         await going;
@@ -202,16 +202,16 @@
         fleet.call(vm, path, { [CALLER_HEADER]: caller });
       const crashing = call(first, "crashing");
       const going = call(second, "going");
-      const beside = await servers.runningOf(path, "going");
+      const beside = await servers.waitForRun(path, "going");
       let ended = 0;
-      let third = await servers.runningOf(path, "crashing");
+      let third = await servers.waitForRun(path, "crashing");
       while (third.server !== beside.server && ended < ALLOWED - 1) {
-        servers.crashUnder(third);
+        servers.crashServerOf(third);
         ended += 1;
-        third = await servers.runningOf(path, "crashing");
+        third = await servers.waitForRun(path, "crashing");
       }
       if (third.server === beside.server && ended === ALLOWED - 1) {
-        servers.crashUnder(third, beside);
+        servers.crashServerOf(third, beside);
         await crashing;
         await pause(HEARD_MS);
         beside.socket.destroy();
--- a/tests/poor_stream_test.ts
+++ b/tests/poor_stream_test.ts
@@ -10,7 +10,12 @@
 import { describe, test } from "node:test";
 import type { StreamEvent } from "../src/backends/model_servers.ts";
 import { executionStatusOf, httpStatusOf } from "../src/core/request_error.ts";
-import { CASCADE, type Play, TestChat, token } from "./fixtures/test_chat.ts";
+import {
+  CASCADE,
+  type ServerScript,
+  TestChat,
+  token,
+} from "./fixtures/test_chat.ts";
 
 const END: StreamEvent = { tag: "end" };
 const CUT: StreamEvent = {
@@ -22,9 +27,10 @@
   error: { tag: "aborted", sent: true },
 };
 const BEGINNING = [token("a ", "poor"), token("b ", "poor")];
-const POOR: Play = () => [BEGINNING, [token("c", "poor")], [END]];
-const GOOD: Play = () => [[token("d ", "good")], [token("e", "good")], [END]];
-const NEXT_STEPS: [string, Record<string, Play>][] = [
+const POOR: ServerScript = () => [BEGINNING, [token("c", "poor")], [END]];
+const GOOD: ServerScript =
+  () => [[token("d ", "good")], [token("e", "good")], [END]];
+const NEXT_STEPS: [string, Record<string, ServerScript>][] = [
   ["has no server", {}],
   ["is refused", {
     "large-1": () => ({ tag: "refused", reason: "ECONNREFUSED" }),
@@ -38,7 +44,7 @@
       const chat = new TestChat({ "small-1": POOR, ...next });
       assert.equal(await chat.stream(CASCADE), undefined);
       const seen = { server: "small-1", text: "a b c", end: "proper" };
-      assert.deepEqual(chat.seen, seen);
+      assert.deepEqual(chat.received, seen);
       assert.ok(!chat.cancelled.includes("small-1"));
       assert.equal(chat.open.size, 0);
     });
@@ -53,9 +59,9 @@
       "large-1": GOOD,
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.deepEqual(chat.tries, ["small-1"]);
-    assert.equal(chat.seen.text, "a b c");
-    assert.equal(chat.seen.end, "proper");
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
+    assert.equal(chat.received.text, "a b c");
+    assert.equal(chat.received.end, "proper");
   });
 
   test("should be passed on if it is whole before it is judged", async () => {
@@ -63,8 +69,8 @@
       "small-1": () => [[token("a", "poor")], [END]],
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.equal(chat.seen.text, "a");
-    assert.equal(chat.seen.end, "proper");
+    assert.equal(chat.received.text, "a");
+    assert.equal(chat.received.end, "proper");
   });
 
   test("should be given up once the next step's answer begins", async () => {
@@ -78,7 +84,7 @@
     });
     assert.equal(await chat.stream(CASCADE), undefined);
     const seen = { server: "large-1", text: "d e", end: "proper" };
-    assert.deepEqual(chat.seen, seen);
+    assert.deepEqual(chat.received, seen);
     assert.deepEqual(heldBy, ["small-1"]);
     assert.deepEqual(chat.cancelled, ["small-1"]);
     assert.equal(chat.open.size, 0);
@@ -94,7 +100,7 @@
       },
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.equal(chat.seen.text, "d e");
+    assert.equal(chat.received.text, "d e");
     assert.equal(cancelled, 1);
     assert.equal(chat.cancelled.length, 1);
     assert.equal(chat.open.size, 0);
@@ -119,7 +125,7 @@
     assert.ok(err);
     assert.equal(err.tag, "stream_cut");
     assert.equal(executionStatusOf(err), "maybe");
-    assert.equal(chat.seen.server, undefined);
+    assert.equal(chat.received.server, undefined);
     assert.equal(chat.open.size, 0);
   });
 
--- a/tests/resting_server_test.ts
+++ b/tests/resting_server_test.ts
@@ -11,7 +11,7 @@
 import assert from "node:assert/strict";
 import { performance } from "node:perf_hooks";
 import { afterEach, beforeEach, describe, it } from "node:test";
-import { restBytes, RestingServer } from "./fixtures/resting_server.ts";
+import { RestingServer, retryAfterBytes } from "./fixtures/resting_server.ts";
 import {
   chunkBytes,
   routeWire,
@@ -150,7 +150,7 @@
     const { requests } = await gateway.addServer(
       "i-full",
       ({ text, socket }) => {
-        if (full) return socket.write(restBytes(REST_S));
+        if (full) return socket.write(retryAfterBytes(REST_S));
         resumed.push(performance.now());
         const after = Number(/last-event-id: (\d+)/i.exec(text)?.[1] ?? 0);
         socket.write(streamBytes(after === 0 ? "" : eventText(after + 1)));
@@ -168,7 +168,7 @@
     full = false;
     let broken = false;
     await gateway.addServer("i-breaks", ({ socket }) => {
-      if (broken) return socket.write(restBytes(REST_S));
+      if (broken) return socket.write(retryAfterBytes(REST_S));
       broken = true;
       socket.write(streamBytes(eventText(1)));
       setTimeout(() => socket.destroy(), 20);
--- a/tests/retry_budget_test.ts
+++ b/tests/retry_budget_test.ts
@@ -36,7 +36,7 @@
 async function play(faults: () => Promise<void>): Promise<void> {
   const forMs = BEFORE_MS + RESTARTS * BETWEEN_RESTARTS_MS + 2_000;
   await Promise.all([
-    fleet.press({ perS: REQUESTS_PER_S, forMs }),
+    fleet.sendAtRate({ perS: REQUESTS_PER_S, forMs }),
     pause(BEFORE_MS).then(faults),
   ]);
 }
@@ -69,7 +69,7 @@
   });
 
   it("should stay within the bound where no gateway reaches another", async () => {
-    await startFleet({ apart: true });
+    await startFleet({ isPartitioned: true });
     await play(async () => {
       const [, ...frozen] = fleet.gateways;
       signalAll(frozen, "SIGSTOP");
