--- a/prove/partitionable_fleet.ts
+++ b/prove/partitionable_fleet.ts
@@ -5,7 +5,10 @@
   Configuration,
 } from "../src/core/config/configuration.ts";
 import { parseAddress } from "../src/runtime/address.ts";
-import { CuttableProxy, EVERYONE } from "../tests/fixtures/cuttable_proxy.ts";
+import {
+  ALL_CALLERS,
+  CuttableProxy,
+} from "../tests/fixtures/cuttable_proxy.ts";
 import {
   type EntrySpec,
   getJson,
@@ -119,7 +122,7 @@
 
   /** Disconnects an entry from the platform. */
   disconnectFromPlatform(id: string): void {
-    this.#proxies.get(id)?.platform.cut(EVERYONE);
+    this.#proxies.get(id)?.platform.cut(ALL_CALLERS);
   }
 
   /** Disconnects all entries from the platform; operators can still reach it. */
@@ -131,7 +134,7 @@
   disconnectFromPeers(id: string): void {
     const { host = "" } = this.#proxies.get(id) ?? {};
     for (const [other, proxies] of this.#proxies) {
-      proxies.peers.cut(other === id ? EVERYONE : host);
+      proxies.peers.cut(other === id ? ALL_CALLERS : host);
     }
   }
 
--- a/soak/accepted_check_test.ts
+++ b/soak/accepted_check_test.ts
@@ -20,8 +20,8 @@
   const CUT: Ending = { tag: "cut", begun: true };
 
   function cutDuringChange(patch: Partial<RequestRecord> = {}): void {
-    soak.called({ kind: "stream", endMs: END_MS, ending: CUT, ...patch });
-    soak.ran({ incomplete: true });
+    soak.addRequest({ kind: "stream", endMs: END_MS, ending: CUT, ...patch });
+    soak.addRun({ incomplete: true });
     soak.history.configurations.push(
       { version: 1, storedMs: 0, keys: ["key"] },
       { version: 2, storedMs: SENT_MS + 100, keys: [] },
@@ -32,8 +32,11 @@
   function recordOtherRun(server: string, atMs = SENT_MS + 10): void {
     const attempt = `other-${server}`;
     const body = responseBody(attempt);
-    soak.called({ attempt, ending: { tag: "answered", status: 200, body } });
-    soak.ran({ attempt, server, atMs });
+    soak.addRequest({
+      attempt,
+      ending: { tag: "answered", status: 200, body },
+    });
+    soak.addRun({ attempt, server, atMs });
   }
 
   function recordOtherRuns(atMs?: number): void {
@@ -58,8 +61,8 @@
   });
 
   it("should find a stream that is cut while the store is down", () => {
-    soak.called({ kind: "stream", endMs: END_MS, ending: CUT });
-    soak.ran({ incomplete: true });
+    soak.addRequest({ kind: "stream", endMs: END_MS, ending: CUT });
+    soak.addRun({ incomplete: true });
     recordOtherRuns();
     assert.deepEqual(soak.broken(), []);
     const fromMs = SENT_MS - BOUNDS.keyRemovalMs + 1;
@@ -75,14 +78,19 @@
   it("should ignore refusals of requests that have not run or may not be retried", () => {
     const ending: Ending = { tag: "answered", status: 401, body: "" };
     cutDuringChange({ kind: "once", ending });
-    soak.called({ attempt: "a-2", kind: "repeatable", endMs: END_MS, ending });
-    soak.called({
+    soak.addRequest({
+      attempt: "a-2",
+      kind: "repeatable",
+      endMs: END_MS,
+      ending,
+    });
+    soak.addRequest({
       attempt: "a-3",
       kind: "stream",
       endMs: END_MS,
       ending: { tag: "cut", begun: false },
     });
-    soak.ran({ attempt: "a-3", incomplete: true });
+    soak.addRun({ attempt: "a-3", incomplete: true });
     recordOtherRuns();
     assert.deepEqual(soak.broken(), []);
   });
@@ -91,7 +99,7 @@
     cutDuringChange();
     recordOtherRuns();
     for (let run = 1; run < ROUTE.maxRuns; run++) {
-      soak.ran({ server: `s-${run + 3}`, incomplete: true });
+      soak.addRun({ server: `s-${run + 3}`, incomplete: true });
     }
     assert.deepEqual(soak.broken(), []);
   });
--- a/soak/fault_injector.ts
+++ b/soak/fault_injector.ts
@@ -4,7 +4,7 @@
 import process from "node:process";
 import { pause } from "../src/runtime/pause.ts";
 import type { StoreFaults } from "../src/standins/object_store_standin.ts";
-import { EVERYONE } from "../tests/fixtures/cuttable_proxy.ts";
+import { ALL_CALLERS } from "../tests/fixtures/cuttable_proxy.ts";
 import type { Fault, PlannedFault } from "./fault_plan.ts";
 import type {
   FaultTarget,
@@ -153,7 +153,7 @@
   async #cutStore(index: number, durationMs: number): Promise<void> {
     const { name, proxy } = this.#gateway(index);
     await this.#recordFault("store_cut", name, async () => {
-      proxy.cut(EVERYONE);
+      proxy.cut(ALL_CALLERS);
       await pause(durationMs);
       proxy.heal();
     });
--- a/soak/fault_plan.ts
+++ b/soak/fault_plan.ts
@@ -2,7 +2,7 @@
 
 import type { SeededRandom } from "./seeded_random.ts";
 import type { ServerMode } from "./soak_server.ts";
-import { SPAN_MS } from "../tests/fixtures/limit_count.ts";
+import { COUNT_WINDOW_MS } from "../tests/fixtures/limit_count.ts";
 import { BOUNDS, MAX_DISCONNECTED_MS } from "./soak_settings.ts";
 
 /** One fault. Gateways and servers are identified by index. */
@@ -232,7 +232,7 @@
     { length: Math.ceil(servers / 2) },
     (_, server) => ({
       atMs: 0,
-      durationMs: MAX_DISCONNECTED_MS + 2 * SPAN_MS,
+      durationMs: MAX_DISCONNECTED_MS + 2 * COUNT_WINDOW_MS,
       fault: { tag: "server", server, mode: "limits" } as const,
     }),
   );
--- a/soak/limit_check.ts
+++ b/soak/limit_check.ts
@@ -3,9 +3,9 @@
 import type { History, LimitRecord } from "./history.ts";
 import type { GatewayName } from "./ids.ts";
 import {
-  allowedInSpan,
-  mostInSpan,
-  SPAN_MS,
+  allowedInWindow,
+  COUNT_WINDOW_MS,
+  maxInWindow,
 } from "../tests/fixtures/limit_count.ts";
 import {
   IN_FLIGHT_GRACE_MS,
@@ -34,9 +34,9 @@
   const servers = new Set(history.limitNotices.map(({ server }) => server));
   return [...servers].flatMap((server) => {
     const times = countedArrivalsMs(history, server);
-    const busiest = mostInSpan(times);
-    if (busiest <= allowedInSpan(SERVER_LIMIT_PER_S)) return [];
-    const detail = `${server} got ${busiest} requests in ${SPAN_MS} ms`;
+    const busiest = maxInWindow(times);
+    if (busiest <= allowedInWindow(SERVER_LIMIT_PER_S)) return [];
+    const detail = `${server} got ${busiest} requests in ${COUNT_WINDOW_MS} ms`;
     return [{ promise: "limits of servers", detail }];
   });
 }
--- a/soak/notice_check_test.ts
+++ b/soak/notice_check_test.ts
@@ -16,16 +16,16 @@
 
 describe("check of the notices of servers", () => {
   it("should find requests during a backoff, except those already in flight", () => {
-    soak.called();
+    soak.addRequest();
     const notice = { server: "s-1", attempt: ATTEMPT, backoffMs: 1_500 };
     soak.history.backoffNotices.push({ ...notice, atMs: SENT_MS });
     for (const [attempt, atMs] of [["a-2", 400], ["a-3", 1_600]] as const) {
-      soak.called({ attempt });
-      soak.ran({ attempt, atMs: SENT_MS + atMs });
+      soak.addRequest({ attempt });
+      soak.addRun({ attempt, atMs: SENT_MS + atMs });
     }
     assert.equal(soak.broken().includes("rests of servers"), false);
-    soak.called({ attempt: "a-4" });
-    soak.ran({ attempt: "a-4", atMs: SENT_MS + 900 });
+    soak.addRequest({ attempt: "a-4" });
+    soak.addRun({ attempt: "a-4", atMs: SENT_MS + 900 });
     assert.ok(soak.broken().includes("rests of servers"));
     soak.history.faultWindows.push({
       name: "freeze",
@@ -37,8 +37,8 @@
   });
 
   it("should count requests rejected with another backoff as sent during the backoff", () => {
-    soak.called();
-    soak.called({
+    soak.addRequest();
+    soak.addRequest({
       attempt: "a-2",
       ending: { tag: "answered", status: 200, body: responseBody("a-2") },
     });
@@ -57,12 +57,12 @@
   });
 
   it("should find requests that arrive after a server advertised that it is draining", () => {
-    soak.called();
+    soak.addRequest();
     const notice = { server: "s-1", attempt: ATTEMPT, backoffMs: 0 };
     soak.history.drainingNotices.push({ ...notice, atMs: SENT_MS });
     const lateMs = SENT_MS + BOUNDS.drainMs + 100;
-    soak.called({ attempt: "a-2", sentMs: lateMs, kind: "repeatable" });
-    soak.ran({ attempt: "a-2", atMs: lateMs + 10 });
+    soak.addRequest({ attempt: "a-2", sentMs: lateMs, kind: "repeatable" });
+    soak.addRun({ attempt: "a-2", atMs: lateMs + 10 });
     assert.ok(soak.broken().includes("leaving words of servers"));
   });
 });
--- a/soak/poison_check_test.ts
+++ b/soak/poison_check_test.ts
@@ -19,9 +19,9 @@
       const atMs = SENT_MS - sinceMs + n;
       soak.history.poisonCrashes.push({ server: `s-${n}`, atMs });
     }
-    soak.called();
+    soak.addRequest();
     soak.history.poisonRequests.push(...soak.history.requests.splice(0));
-    soak.ran({ poison: true, incomplete: true, server: "s-4" });
+    soak.addRun({ poison: true, incomplete: true, server: "s-4" });
   }
 
   it("should find that it was sent after all gateways had time to learn of the crashes", () => {
@@ -45,7 +45,7 @@
 
   it("should find another request that was refused as a poison request", () => {
     const body = '{"code":"crashes_servers"}';
-    soak.called({ ending: { tag: "answered", status: 503, body } });
+    soak.addRequest({ ending: { tag: "answered", status: 503, body } });
     assert.deepEqual(soak.broken(), ["innocent requests"]);
   });
 });
--- a/tests/accepted_requests_test.ts
+++ b/tests/accepted_requests_test.ts
@@ -13,7 +13,7 @@
 import {
   answerBytes,
   chunkBytes,
-  notRunBytes,
+  notProcessedBytes,
   routeWire,
   STREAM_ROUTE,
   streamBytes,
@@ -165,7 +165,7 @@
       const resumed = /last-event-id: 1/i.test(req.text);
       if (!resumed || rejections === 5) return beginStream(req);
       rejections += 1;
-      req.socket.write(notRunBytes());
+      req.socket.write(notProcessedBytes());
     };
     await gateway.addServer("i-1", answer);
     await gateway.addServer("i-2", answer);
@@ -183,7 +183,7 @@
     const answer = (req: RawRequest) => {
       if (req.text.includes("/warm")) req.socket.write(answerBytes());
       else if (pending.length === 0) pending.push(req);
-      else if (rejections++ < 5) req.socket.write(notRunBytes());
+      else if (rejections++ < 5) req.socket.write(notProcessedBytes());
       else req.socket.write(answerBytes());
     };
     await gateway.addServer("i-1", answer);
--- a/tests/accepted_revision_test.ts
+++ b/tests/accepted_revision_test.ts
@@ -20,7 +20,7 @@
 async function startFleet(count: number, seed = 1): Promise<SimulatedFleet> {
   fleet = new SimulatedFleet({ count, seed });
   await fleet.start();
-  assert.ok(fleet.isWhole);
+  assert.ok(fleet.isConverged);
   return fleet;
 }
 
@@ -80,7 +80,7 @@
       network.watchesStuck = true;
       return;
     case "writes lost":
-      network.lostWrites = share;
+      network.lostWriteShare = share;
       return;
     case "restart":
       return fleet.startEntry(Math.floor(share * (ids.length - 1)));
@@ -100,14 +100,14 @@
   const simulation = await startFleet(count, seed);
   for (const step of schedule) {
     injectFault(simulation, step);
-    await simulation.pass(step.thenMs);
+    await simulation.advance(step.thenMs);
   }
   simulation.network.heal();
-  await simulation.pass(12_000);
+  await simulation.advance(12_000);
   const before = simulation.accepted;
   void simulation.apply();
-  await simulation.pass(12_000);
-  const { breaches, accepted, isWhole } = simulation;
+  await simulation.advance(12_000);
+  const { violations: breaches, accepted, isConverged: isWhole } = simulation;
   await simulation.stop();
   fleet = undefined;
   assert.deepEqual(breaches, []);
@@ -122,11 +122,11 @@
         const simulation = await startFleet(count);
         simulation.network.cutFromPlatform(simulation.ids);
         void simulation.apply();
-        await simulation.pass(400);
+        await simulation.advance(400);
         simulation.network.heal();
         simulation.network.platformDown = true;
-        await simulation.pass(outageMs);
-        assert.deepEqual(simulation.breaches, []);
+        await simulation.advance(outageMs);
+        assert.deepEqual(simulation.violations, []);
       });
     }
 
@@ -134,19 +134,19 @@
       const simulation = await startFleet(count);
       simulation.network.cutFromPlatform(simulation.ids);
       void simulation.apply();
-      await simulation.pass(14_000);
-      assert.deepEqual(simulation.breaches, []);
+      await simulation.advance(14_000);
+      assert.deepEqual(simulation.violations, []);
       simulation.network.heal();
-      await simulation.pass(5_000);
+      await simulation.advance(5_000);
       assert.equal(simulation.accepted, 2);
-      assert.ok(simulation.isWhole);
+      assert.ok(simulation.isConverged);
     });
 
     it(`should keep ${count} entries serving all requests while the platform is down`, async () => {
       const simulation = await startFleet(count);
       simulation.takeServingShare();
       simulation.network.platformDown = true;
-      await simulation.pass(30_000);
+      await simulation.advance(30_000);
       assert.equal(simulation.takeServingShare(), 1);
     });
 
@@ -156,7 +156,7 @@
       const simulation = await startFleet(count);
       simulation.takeServingShare();
       simulation.network.cutFromPlatform(simulation.ids);
-      await simulation.pass(30_000);
+      await simulation.advance(30_000);
       assert.equal(simulation.takeServingShare(), 1);
     });
   }
@@ -167,29 +167,29 @@
     simulation.network.cutFromPlatform(isolatedIds);
     simulation.network.cutFromPeers(isolatedIds);
     void simulation.apply();
-    await simulation.pass(2_000);
+    await simulation.advance(2_000);
     assert.equal(simulation.accepted, 2);
     simulation.network.platformDown = true;
     for (const index of [0, 1, 2]) simulation.startEntry(index);
-    await simulation.pass(100);
+    await simulation.advance(100);
     simulation.network.cutFromPeers([]);
-    await simulation.pass(14_000);
-    assert.deepEqual(simulation.breaches, []);
+    await simulation.advance(14_000);
+    assert.deepEqual(simulation.violations, []);
     simulation.network.heal();
-    await simulation.pass(5_000);
-    assert.ok(simulation.isWhole);
+    await simulation.advance(5_000);
+    assert.ok(simulation.isConverged);
   });
 
   it("should be accepted after a planned stop of all entries but one", async () => {
     const simulation = await startFleet(5);
     for (const index of [1, 2, 3, 4]) void simulation.leave(index);
-    await simulation.pass(5_000);
+    await simulation.advance(5_000);
     void simulation.apply();
-    await simulation.pass(2_000);
+    await simulation.advance(2_000);
     assert.equal(simulation.accepted, 2);
     simulation.network.platformDown = true;
     simulation.takeServingShare();
-    await simulation.pass(14_000);
+    await simulation.advance(14_000);
     assert.equal(simulation.takeServingShare(), 1);
   });
 
@@ -199,15 +199,15 @@
         const simulation = fleet = new SimulatedFleet({ count: 1, seed });
         simulation.replaceClocks();
         void simulation.apply();
-        await simulation.pass(1_000);
+        await simulation.advance(1_000);
         simulation.network.watchesStuck = true;
         void simulation.apply();
-        await simulation.pass(startMs, 1);
+        await simulation.advance(startMs, 1);
         simulation.startEntry(0);
-        await simulation.pass(300, 1);
+        await simulation.advance(300, 1);
         simulation.network.cutFromPlatform(simulation.ids);
-        await simulation.pass(14_000);
-        const { breaches } = simulation;
+        await simulation.advance(14_000);
+        const { violations: breaches } = simulation;
         await simulation.stop();
         assert.deepEqual(breaches, [], `${startMs} ms, seed ${seed}`);
       }
--- a/tests/broken_run_test.ts
+++ b/tests/broken_run_test.ts
@@ -6,7 +6,7 @@
 
 import assert from "node:assert/strict";
 import { afterEach, beforeEach, describe, it } from "node:test";
-import { restBytes } from "./fixtures/resting_server.ts";
+import { retryAfterBytes } from "./fixtures/resting_server.ts";
 import {
   answerBytes,
   routeWire,
@@ -54,7 +54,7 @@
     let mode: "sound" | "breaks" | "rests" = "sound";
     let closeConnection = () => {};
     const server = await gateway.addServer("i-1", ({ socket }) => {
-      if (mode === "rests") return socket.write(restBytes(0.5));
+      if (mode === "rests") return socket.write(retryAfterBytes(0.5));
       if (mode === "sound") return socket.write(answerBytes());
       mode = "rests";
       closeConnection = () => socket.destroy();
@@ -77,7 +77,7 @@
     let mode: "sound" | "breaks" | "rests" = "sound";
     let closeConnections: (() => void)[] = [];
     const server = await gateway.addServer("i-1", ({ socket }) => {
-      if (mode === "rests") return socket.write(restBytes(BACKOFF_S));
+      if (mode === "rests") return socket.write(retryAfterBytes(BACKOFF_S));
       if (mode === "sound") return socket.write(answerBytes());
       closeConnections.push(() => socket.destroy());
     });
--- a/tests/entry_ran_test.ts
+++ b/tests/entry_ran_test.ts
@@ -13,13 +13,13 @@
 import { describe, test } from "node:test";
 import type { BackendError } from "../src/backends/backend_error.ts";
 import { executionStatusOf, httpStatusOf } from "../src/core/request_error.ts";
-import { CASCADE, type Play, TestChat } from "./fixtures/test_chat.ts";
+import { CASCADE, type ServerScript, TestChat } from "./fixtures/test_chat.ts";
 
 const CONNECTION_REFUSED: BackendError = {
   tag: "refused",
   reason: "ECONNREFUSED",
 };
-const STREAM_CUT: Play = () => [[{
+const STREAM_CUT: ServerScript = () => [[{
   tag: "cut",
   error: { tag: "failed", reason: "ECONNRESET" },
 }]];
@@ -28,7 +28,7 @@
   test("should be reported as possibly run when there is no other server", async () => {
     const chat = new TestChat({ "small-1": STREAM_CUT });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -43,7 +43,7 @@
       "small-2": STREAM_CUT,
     });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -55,7 +55,7 @@
       "small-2": () => CONNECTION_REFUSED,
     });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(httpStatusOf(err), 502);
@@ -70,7 +70,7 @@
       },
     });
     const err = await chat.stream("small");
-    assert.deepEqual(chat.tries, ["small-1", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2"]);
     assert.ok(err);
     assert.equal(executionStatusOf(err), "maybe");
     assert.equal(err.tag, "cancelled");
@@ -86,8 +86,11 @@
   });
 });
 
-const CONNECTION_FAILED: Play = () => ({ tag: "failed", reason: "ECONNRESET" });
-const SECOND_STEP_OUTCOMES: [string, Record<string, Play>, number][] = [
+const CONNECTION_FAILED: ServerScript = () => ({
+  tag: "failed",
+  reason: "ECONNRESET",
+});
+const SECOND_STEP_OUTCOMES: [string, Record<string, ServerScript>, number][] = [
   ["has no server", {}, 502],
   ["is refused", { "large-1": () => CONNECTION_REFUSED }, 502],
   ["is aborted before it is sent", {
@@ -101,7 +104,10 @@
       test(`should be reported as possibly run when the second step ${outcome}`, async () => {
         const chat = new TestChat({ "small-1": CONNECTION_FAILED, ...second });
         const err = await chat[form](CASCADE);
-        assert.deepEqual(chat.tries, ["small-1", ...Object.keys(second)]);
+        assert.deepEqual(chat.attemptedServers, [
+          "small-1",
+          ...Object.keys(second),
+        ]);
         assert.ok(err);
         assert.equal(executionStatusOf(err), "maybe");
         assert.equal(httpStatusOf(err), status);
--- a/tests/entry_rest_test.ts
+++ b/tests/entry_rest_test.ts
@@ -38,14 +38,14 @@
     });
     assert.equal(await chat.answer("small"), undefined);
     assert.equal(await chat.answer("small"), undefined);
-    assert.deepEqual(chat.tries, ["small-1", "small-2", "small-2"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1", "small-2", "small-2"]);
   });
 
   it("should get none where it is the only server, and clients should get the remaining time", async () => {
     const chat = new TestChat({ "small-1": () => SERVER_FULL });
     await chat.answer("small");
     const err = await chat.answer("small");
-    assert.deepEqual(chat.tries, ["small-1"]);
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
     assert.equal(err?.tag === "no_server" && err.retryAfterMs, BACKOFF_MS);
   });
 
--- a/tests/gateway_fleet_test.ts
+++ b/tests/gateway_fleet_test.ts
@@ -66,7 +66,7 @@
   for (const fault of ["silence", "resets"] as const) {
     it(`should select new readers when both lose the store (${fault})`, async () => {
       await untilRelayed();
-      for (const vm of relayNames()) fleet.cutOff(vm, fault);
+      for (const vm of relayNames()) fleet.disconnectStore(vm, fault);
       await configureUntilServed(`/beyond-${fault}/`, VMS);
     });
   }
@@ -88,8 +88,8 @@
     await untilRelayed();
     const relays = relayNames();
     const leaving = relays.includes("edge-3") ? "edge-4" : "edge-3";
-    await until(async () => await fleet.naming(leaving) === VMS - 1);
+    await until(async () => await fleet.countAdvertising(leaving) === VMS - 1);
     fleet.leave(leaving);
-    await until(async () => await fleet.naming(leaving) === 0);
+    await until(async () => await fleet.countAdvertising(leaving) === 0);
   });
 });
--- a/tests/late_retry_test.ts
+++ b/tests/late_retry_test.ts
@@ -42,7 +42,7 @@
 async function pressWithStall(stall: () => Promise<void>): Promise<void> {
   const forMs = WARM_UP_MS + STALL_MS + RECOVERY_MS;
   await Promise.all([
-    fleet.press({ perS: REQUESTS_PER_S, forMs }),
+    fleet.sendAtRate({ perS: REQUESTS_PER_S, forMs }),
     pause(WARM_UP_MS).then(stall),
   ]);
 }
--- a/tests/limited_server_test.ts
+++ b/tests/limited_server_test.ts
@@ -12,7 +12,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { GatewayFleet } from "./fixtures/gateway_fleet.ts";
-import { allowedInSpan, mostInSpan } from "./fixtures/limit_count.ts";
+import { allowedInWindow, maxInWindow } from "./fixtures/limit_count.ts";
 import { LimitedServer } from "./fixtures/limited_server.ts";
 import { until } from "./fixtures/test_fleet.ts";
 import { routeWire, serverWire } from "./fixtures/test_gateway.ts";
@@ -74,8 +74,8 @@
 /** Asserts that a server got no more requests than its limit, and at least the required share. */
 function assertLimitUsed(server: LimitedServer, fromMs: number): void {
   const arrived = server.arrivedSince(fromMs);
-  const most = mostInSpan(arrived);
-  assert.ok(most <= allowedInSpan(LIMIT_PER_S), `${most} in one span`);
+  const most = maxInWindow(arrived);
+  assert.ok(most <= allowedInWindow(LIMIT_PER_S), `${most} in one span`);
   const used = arrived.length * 1_000 / OBSERVATION_MS;
   assert.ok(used >= MIN_USED_SHARE * LIMIT_PER_S, `${used} a second used`);
 }
@@ -109,8 +109,8 @@
     await callFor(PROPAGATION_MS);
     const loweredMs = performance.now();
     await callFor(OBSERVATION_MS / 2);
-    const most = mostInSpan(limited.arrivedSince(loweredMs));
-    assert.ok(most <= allowedInSpan(LIMIT_PER_S / 4), `${most} in one span`);
+    const most = maxInWindow(limited.arrivedSince(loweredMs));
+    assert.ok(most <= allowedInWindow(LIMIT_PER_S / 4), `${most} in one span`);
     limited.limitPerS = undefined;
     await until(async () => {
       const sinceMs = performance.now();
--- a/tests/poison_request_test.ts
+++ b/tests/poison_request_test.ts
@@ -60,7 +60,7 @@
 /** Waits until all VMs know each other: a VM without peers has no share of the retry budget. */
 async function untilConnected(): Promise<void> {
   for (const vm of fleet.vms) {
-    await until(async () => await fleet.naming(vm) === VMS - 1);
+    await until(async () => await fleet.countAdvertising(vm) === VMS - 1);
   }
 }
 
@@ -90,7 +90,7 @@
 
 /** Sends the request to all VMs in turn until it has crashed so many servers. */
 async function untilCrashed(count: number): Promise<void> {
-  for (let n = 0; servers.ended.length < count; n++) {
+  for (let n = 0; servers.crashedServers.length < count; n++) {
     await fleet.call(fleet.vms[n % VMS] ?? "", PATH);
   }
 }
@@ -99,9 +99,9 @@
   it("should not be sent to a server by any VM after it has crashed three", async () => {
     await untilCrashed(MAX_CRASHED_SERVERS);
     await pause(PROPAGATION_MS);
-    const crashedCount = servers.ended.length;
+    const crashedCount = servers.crashedServers.length;
     for (const vm of [...fleet.vms, ...fleet.vms]) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, crashedCount);
+    assert.equal(servers.crashedServers.length, crashedCount);
   });
 
   it("should not be sent to a server after all VMs have restarted", async () => {
@@ -109,21 +109,21 @@
     await until(() =>
       Promise.resolve(fleet.store.objects.list("fieldrack-crashes").length > 0)
     );
-    const crashedCount = servers.ended.length;
+    const crashedCount = servers.crashedServers.length;
     await fleet.restart();
     await untilServed();
     await pause(PROPAGATION_MS);
     for (const vm of fleet.vms) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, crashedCount);
+    assert.equal(servers.crashedServers.length, crashedCount);
   });
 
   it("should be counted for each incarnation of servers that restart with the same id", async () => {
     await replaceServers(MAX_CRASHED_SERVERS - 1, { keepIds: true });
     await untilCrashed(MAX_CRASHED_SERVERS);
     await pause(PROPAGATION_MS);
-    const crashedCount = servers.ended.length;
+    const crashedCount = servers.crashedServers.length;
     for (const vm of fleet.vms) await fleet.call(vm, PATH);
-    assert.equal(servers.ended.length, crashedCount);
+    assert.equal(servers.crashedServers.length, crashedCount);
   });
 
   it("should not be confused with a request that many callers send while servers fail together", async () => {
@@ -167,18 +167,18 @@
       const call = (vm: string, caller: string) =>
         fleet.call(vm, path, { [CALLER_HEADER]: caller });
       const crashing = call(first, "crashing");
-      servers.crashUnder(await servers.runningOf(path, "crashing"));
-      const culprit = await servers.runningOf(path, "crashing");
+      servers.crashServerOf(await servers.waitForRun(path, "crashing"));
+      const culprit = await servers.waitForRun(path, "crashing");
       const going = call(second, "going");
-      const otherRun = await servers.runningOf(path, "going");
+      const otherRun = await servers.waitForRun(path, "going");
       if (otherRun.server === culprit.server) {
         assert.equal((await crashing).body, LONG_BODY);
         assert.equal((await going).body, LONG_BODY);
         continue;
       }
-      servers.crashUnder(culprit);
-      const third = await servers.runningOf(path, "crashing");
-      servers.crashUnder(third);
+      servers.crashServerOf(culprit);
+      const third = await servers.waitForRun(path, "crashing");
+      servers.crashServerOf(third);
       await crashing;
       if (third.server === otherRun.server) {
         await going;
@@ -202,22 +202,22 @@
         fleet.call(vm, path, { [CALLER_HEADER]: caller });
       const crashing = call(first, "crashing");
       const going = call(second, "going");
-      const otherRun = await servers.runningOf(path, "going");
+      const otherRun = await servers.waitForRun(path, "going");
       let crashedCount = 0;
-      let third = await servers.runningOf(path, "crashing");
+      let third = await servers.waitForRun(path, "crashing");
       while (
         third.server !== otherRun.server &&
         crashedCount < MAX_CRASHED_SERVERS - 1
       ) {
-        servers.crashUnder(third);
+        servers.crashServerOf(third);
         crashedCount += 1;
-        third = await servers.runningOf(path, "crashing");
+        third = await servers.waitForRun(path, "crashing");
       }
       if (
         third.server === otherRun.server &&
         crashedCount === MAX_CRASHED_SERVERS - 1
       ) {
-        servers.crashUnder(third, otherRun);
+        servers.crashServerOf(third, otherRun);
         await crashing;
         await pause(GOSSIP_MS);
         otherRun.socket.destroy();
--- a/tests/poor_stream_test.ts
+++ b/tests/poor_stream_test.ts
@@ -9,7 +9,12 @@
 import { describe, test } from "node:test";
 import type { StreamEvent } from "../src/backends/model_servers.ts";
 import { executionStatusOf, httpStatusOf } from "../src/core/request_error.ts";
-import { CASCADE, type Play, TestChat, token } from "./fixtures/test_chat.ts";
+import {
+  CASCADE,
+  type ServerScript,
+  TestChat,
+  token,
+} from "./fixtures/test_chat.ts";
 
 const END: StreamEvent = { tag: "end" };
 const CUT: StreamEvent = {
@@ -21,9 +26,10 @@
   error: { tag: "aborted", sent: true },
 };
 const POOR_BEGINNING = [token("a ", "poor"), token("b ", "poor")];
-const POOR: Play = () => [POOR_BEGINNING, [token("c", "poor")], [END]];
-const GOOD: Play = () => [[token("d ", "good")], [token("e", "good")], [END]];
-const NEXT_STEPS: [string, Record<string, Play>][] = [
+const POOR: ServerScript = () => [POOR_BEGINNING, [token("c", "poor")], [END]];
+const GOOD: ServerScript =
+  () => [[token("d ", "good")], [token("e", "good")], [END]];
+const NEXT_STEPS: [string, Record<string, ServerScript>][] = [
   ["has no server", {}],
   ["is refused", {
     "large-1": () => ({ tag: "refused", reason: "ECONNREFUSED" }),
@@ -37,7 +43,7 @@
       const chat = new TestChat({ "small-1": POOR, ...plays });
       assert.equal(await chat.stream(CASCADE), undefined);
       const seen = { server: "small-1", text: "a b c", end: "proper" };
-      assert.deepEqual(chat.seen, seen);
+      assert.deepEqual(chat.received, seen);
       assert.ok(!chat.cancelled.includes("small-1"));
       assert.equal(chat.open.size, 0);
     });
@@ -52,9 +58,9 @@
       "large-1": GOOD,
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.deepEqual(chat.tries, ["small-1"]);
-    assert.equal(chat.seen.text, "a b c");
-    assert.equal(chat.seen.end, "proper");
+    assert.deepEqual(chat.attemptedServers, ["small-1"]);
+    assert.equal(chat.received.text, "a b c");
+    assert.equal(chat.received.end, "proper");
   });
 
   test("should be passed on if it completes before its quality is judged", async () => {
@@ -62,8 +68,8 @@
       "small-1": () => [[token("a", "poor")], [END]],
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.equal(chat.seen.text, "a");
-    assert.equal(chat.seen.end, "proper");
+    assert.equal(chat.received.text, "a");
+    assert.equal(chat.received.end, "proper");
   });
 
   test("should be cancelled once the next step's response begins", async () => {
@@ -77,7 +83,7 @@
     });
     assert.equal(await chat.stream(CASCADE), undefined);
     const seen = { server: "large-1", text: "d e", end: "proper" };
-    assert.deepEqual(chat.seen, seen);
+    assert.deepEqual(chat.received, seen);
     assert.deepEqual(openAtNextStep, ["small-1"]);
     assert.deepEqual(chat.cancelled, ["small-1"]);
     assert.equal(chat.open.size, 0);
@@ -93,7 +99,7 @@
       },
     });
     assert.equal(await chat.stream(CASCADE), undefined);
-    assert.equal(chat.seen.text, "d e");
+    assert.equal(chat.received.text, "d e");
     assert.equal(cancelled, 1);
     assert.equal(chat.cancelled.length, 1);
     assert.equal(chat.open.size, 0);
@@ -118,7 +124,7 @@
     assert.ok(err);
     assert.equal(err.tag, "stream_cut");
     assert.equal(executionStatusOf(err), "maybe");
-    assert.equal(chat.seen.server, undefined);
+    assert.equal(chat.received.server, undefined);
     assert.equal(chat.open.size, 0);
   });
 
--- a/tests/retry_budget_test.ts
+++ b/tests/retry_budget_test.ts
@@ -36,7 +36,7 @@
 async function pressWithFaults(faults: () => Promise<void>): Promise<void> {
   const forMs = WARM_UP_MS + RESTARTS * RESTART_INTERVAL_MS + 2_000;
   await Promise.all([
-    fleet.press({ perS: REQUESTS_PER_S, forMs }),
+    fleet.sendAtRate({ perS: REQUESTS_PER_S, forMs }),
     pause(WARM_UP_MS).then(faults),
   ]);
 }
@@ -69,7 +69,7 @@
   });
 
   it("should stay within the bound if no gateway can reach another", async () => {
-    await startFleet({ apart: true });
+    await startFleet({ isPartitioned: true });
     await pressWithFaults(async () => {
       const [, ...frozen] = fleet.gateways;
       signalAll(frozen, "SIGSTOP");
