--- a/src/fleet/digest_service.ts
+++ b/src/fleet/digest_service.ts
@@ -118,7 +118,7 @@
   }
 
   /**
-   * Merges the answer to a request that was sent at `askedMs` by the trust clock. Only answers
+   * Merges the answer to a request that was sent at `askedMs` by the suspend-aware clock. Only answers
    * update the time of the last confirmation: the transit time of an unsolicited digest is
    * unknown. Returns whether the other VM is a relay that is connected to the store.
    */
--- a/src/store/routing_follower.ts
+++ b/src/store/routing_follower.ts
@@ -113,7 +113,7 @@
 
   /**
    * Receives a confirmation by another VM: `atMs` is no later than the start of its read, by the
-   * trust clock. A version later than the one in force here triggers a read of the store.
+   * suspend-aware clock. A version later than the one in force here triggers a read of the store.
    */
   receiveConfirmation(
     { version, atMs }: { version: number; atMs: number },
